--- a/stairquay/core/admission.py
+++ b/stairquay/core/admission.py
@@ -16,10 +16,10 @@
 """Weight of the newest observation in the mean time that a request holds its slot."""
 
 
-NEW_WAIT_SHARE = 0.5
+NEW_CONVERSATION_WAIT_SHARE = 0.5
 """Share of the longest wait that a new conversation may be predicted to have."""
 
-SPARE_TAGS = 16
+MAX_IDLE_TAGS = 16
 """Tags of idle workspaces that are kept before any is looked for to drop."""
 
 
@@ -109,12 +109,12 @@
     starting_slots: int = 1_000_000
     running: int = 0
     starting: int = 0
-    mean_s: float = 0.5
-    mean_start_s: float = 0.0
-    virtual: float = 0.0
-    numbered: int = 0
+    mean_slot_s: float = 0.5
+    mean_starting_slot_s: float = 0.0
+    virtual_time: float = 0.0
+    last_number: int = 0
     heap: list[Ticket] = field(default_factory=list)
-    last_tags: dict[str, float] = field(default_factory=dict)
+    finish_tags: dict[str, float] = field(default_factory=dict)
     waiting: Counter[str] = field(default_factory=Counter)
     weights: dict[str, float] = field(default_factory=dict)
     withdrawn: set[int] = field(default_factory=set)
@@ -126,13 +126,13 @@
         little computing, and one that was refused in between would come back to be computed whole.
         """
         self.weights[workspace.id] = workspace.weight
-        limit_s = self.max_wait_s if returning else self.max_wait_s * NEW_WAIT_SHARE
+        limit_s = self.max_wait_s if returning else self.max_wait_s * NEW_CONVERSATION_WAIT_SHARE
         if self.predicted_wait_s(workspace) > limit_s:
-            return self.overloaded(workspace, limit_s)
-        tag = max(self.virtual, self.last_tags.get(workspace.id, 0.0))
-        self.last_tags[workspace.id] = tag + 1.0 / workspace.weight
-        self.numbered += 1
-        ticket = Ticket(tag, self.numbered, workspace.id)
+            return self.overload_refusal(workspace, limit_s)
+        tag = max(self.virtual_time, self.finish_tags.get(workspace.id, 0.0))
+        self.finish_tags[workspace.id] = tag + 1.0 / workspace.weight
+        self.last_number += 1
+        ticket = Ticket(tag, self.last_number, workspace.id)
         heapq.heappush(self.heap, ticket)
         self.waiting[workspace.id] += 1
         return ticket
@@ -144,9 +144,9 @@
             if ticket.number in self.withdrawn:
                 self.withdrawn.discard(ticket.number)
                 continue
-            self._leave(ticket.workspace)
-            self.virtual = max(self.virtual, ticket.tag)
-            self._forget_idle()
+            self._remove_waiting(ticket.workspace)
+            self.virtual_time = max(self.virtual_time, ticket.tag)
+            self._drop_idle_tags()
             self.running += 1
             self.starting += 1
             return ticket
@@ -155,26 +155,26 @@
     def withdraw(self, ticket: Ticket) -> None:
         """Take a waiting request out of the queue."""
         self.withdrawn.add(ticket.number)
-        self._leave(ticket.workspace)
+        self._remove_waiting(ticket.workspace)
 
     def backlogged(self, workspace_id: str) -> bool:
         """Tell whether a workspace has more waiting: it has its share, or more would be out of turn."""
         return self.waiting[workspace_id] > 0
 
-    def started(self, held_s: float) -> None:
+    def release_starting_slot(self, held_s: float) -> None:
         """Free a starting slot that was held for some seconds."""
         self.starting -= 1
-        self.mean_start_s += SERVICE_TIME_GAIN * (held_s - self.mean_start_s)
+        self.mean_starting_slot_s += SERVICE_TIME_GAIN * (held_s - self.mean_starting_slot_s)
 
     def release(self, held_s: float) -> None:
         """Free a slot that was held for some seconds; its starting slot is free already."""
         self.running -= 1
-        self.mean_s += SERVICE_TIME_GAIN * (held_s - self.mean_s)
+        self.mean_slot_s += SERVICE_TIME_GAIN * (held_s - self.mean_slot_s)
 
-    def overloaded(self, workspace: Workspace, limit_s: float) -> Refusal:
+    def overload_refusal(self, workspace: Workspace, limit_s: float) -> Refusal:
         """Return the refusal of a request that would wait too long, with when to come back."""
         over_s = self.predicted_wait_s(workspace) - limit_s
-        return Refusal(ErrorKind.OVERLOADED, retry_after_s=max(0.0, over_s) + self.mean_s)
+        return Refusal(ErrorKind.OVERLOADED, retry_after_s=max(0.0, over_s) + self.mean_slot_s)
 
     def predicted_wait_s(self, workspace: Workspace) -> float:
         """Return seconds that a new request of a workspace would wait for its slot."""
@@ -185,19 +185,21 @@
         total = sum(self.weights.get(key, 1.0) for key in active)
         share = workspace.weight / total
         ahead = self.waiting[workspace.id] + 1
-        slot_s = max(self.mean_s / max(1, self.slots), self.mean_start_s / max(1, self.starting_slots))
+        slot_s = max(
+            self.mean_slot_s / max(1, self.slots), self.mean_starting_slot_s / max(1, self.starting_slots)
+        )
         return ahead * slot_s / share
 
-    def _leave(self, workspace_id: str) -> None:
+    def _remove_waiting(self, workspace_id: str) -> None:
         self.waiting[workspace_id] -= 1
         if self.waiting[workspace_id] <= 0:
             del self.waiting[workspace_id]
 
-    def _forget_idle(self) -> None:
+    def _drop_idle_tags(self) -> None:
         """Drop tags that lie behind the queue's own, once they outnumber those that wait."""
-        if len(self.last_tags) <= 2 * len(self.waiting) + SPARE_TAGS:
+        if len(self.finish_tags) <= 2 * len(self.waiting) + MAX_IDLE_TAGS:
             return
-        stale = [key for key, tag in self.last_tags.items() if tag <= self.virtual]
+        stale = [key for key, tag in self.finish_tags.items() if tag <= self.virtual_time]
         for key in stale:
             if not self.waiting[key]:
-                del self.last_tags[key]
+                del self.finish_tags[key]
--- a/stairquay/entry/context.py
+++ b/stairquay/entry/context.py
@@ -134,7 +134,7 @@
 
     def on_started(self, held_s: float) -> None:
         """Free a starting slot."""
-        self.queue.started(held_s)
+        self.queue.release_starting_slot(held_s)
         self._grant()
 
     def on_left(self, held_s: float) -> None:
@@ -152,13 +152,13 @@
     def _give_up(self, ticket: Ticket, workspace: Workspace) -> Refusal:
         self.waiting.pop(ticket.number)
         self.queue.withdraw(ticket)
-        return self.queue.overloaded(workspace, self.queue.max_wait_s)
+        return self.queue.overload_refusal(workspace, self.queue.max_wait_s)
 
     def _abandon(self, ticket: Ticket, granted: "asyncio.Future[None]") -> None:
         """Put back what a request that went away had: its place, or the slot it was just given."""
         if self.waiting.pop(ticket.number, None) is not None:
             self.queue.withdraw(ticket)
         elif granted.done():
-            self.queue.started(self.queue.mean_start_s)
-            self.queue.release(self.queue.mean_s)
+            self.queue.release_starting_slot(self.queue.mean_starting_slot_s)
+            self.queue.release(self.queue.mean_slot_s)
             self._grant()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -174,7 +174,7 @@
         ticket = queue.grant()
         if ticket is None:
             assert queue.running == slots or queue.starting == 2
-            queue.started(0.1)
+            queue.release_starting_slot(0.1)
             queue.release(0.1)
             continue
         granted.append(ticket.number)
@@ -198,13 +198,13 @@
 
 
 def test_a_request_that_would_wait_too_long_is_refused_with_when_to_come_back():
-    queue = FairQueue(1, max_wait_s=1.0, mean_s=0.4)
+    queue = FairQueue(1, max_wait_s=1.0, mean_slot_s=0.4)
     refused = [item for item in (queue.offer(Workspace("w")) for _ in range(9)) if isinstance(item, Refusal)]
     assert refused and all(item.ran == Ran.NOT_RUN and item.come_back_s > 0 for item in refused)
 
 
 def test_under_pressure_new_conversations_are_refused_first():
-    queue = FairQueue(1, max_wait_s=1.0, mean_s=0.2)
+    queue = FairQueue(1, max_wait_s=1.0, mean_slot_s=0.2)
     workspace = Workspace("w")
     while not isinstance(queue.offer(workspace, returning=False), Refusal):
         continue
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -91,7 +91,7 @@
 
 
 def test_one_of_820_workspaces_floods_and_the_others_still_go_in_turn():
-    queue = FairQueue(16, max_wait_s=6.0, mean_s=0.1)
+    queue = FairQueue(16, max_wait_s=6.0, mean_slot_s=0.1)
     flood = Workspace("flood", weight=4.0)
     refused = sum(isinstance(queue.offer(flood), Refusal) for _ in range(5_000))
     mine = {queue.offer(Workspace(f"w{number}")).number for number in range(WORKSPACES - 1)}
@@ -104,7 +104,7 @@
         granted.append(ticket.number)
     assert refused > 3_000
     assert mine <= set(granted)
-    assert len(queue.last_tags) <= 20
+    assert len(queue.finish_tags) <= 20
 
 
 def test_the_budget_bounds_attempts_at_every_share_of_failures():
