--- a/stairquay/adapters/follower.py
+++ b/stairquay/adapters/follower.py
@@ -56,7 +56,7 @@
         self.configuration = merge(self.configuration, update.rows, update.revision)
         if self.configuration.revision != before:
             logging.info("configuration revision %d in force", self.configuration.revision)
-            for key in self.configuration.unreadable:
+            for key in self.configuration.unreadable_keys:
                 logging.error("row %s cannot be read and is left out", key)
         if update.boxes is not None:
             self.membership.on_list(update.boxes)
--- a/stairquay/core/configuration.py
+++ b/stairquay/core/configuration.py
@@ -18,7 +18,7 @@
 VERSION_PREFIX = "config/version/"
 PLACEMENT_PREFIX = "config/placement/"
 
-KINDS: dict[str, type] = {
+TYPES_BY_PREFIX: dict[str, type] = {
     SERVICE_PREFIX: Service,
     WORKSPACE_PREFIX: Workspace,
     VERSION_PREFIX: ModelVersion,
@@ -68,15 +68,15 @@
         plain.sort(key=lambda item: -len(item.path_prefix))
         return {item.path_prefix: item for item in plain if item.path_prefix}
 
-    def since(self, revision: int) -> tuple[Row, ...]:
+    def rows_since(self, revision: int) -> tuple[Row, ...]:
         """Return the rows changed after `revision`, deleted ones included."""
         return tuple(row for row in self.rows_by_key.values() if row.revision > revision)
 
     @cached_property
-    def unreadable(self) -> tuple[str, ...]:
+    def unreadable_keys(self) -> tuple[str, ...]:
         """Return the keys of rows that cannot be read; the others are in force without them."""
         bad = []
-        for prefix, kind in KINDS.items():
+        for prefix, kind in TYPES_BY_PREFIX.items():
             for key, value in self._values(prefix):
                 if _read(value, kind) is None:
                     bad.append(key)
@@ -98,14 +98,14 @@
         return None
 
 
-def merge(held: Configuration, rows: tuple[Row, ...], revision: int) -> Configuration:
+def merge(current: Configuration, rows: tuple[Row, ...], revision: int) -> Configuration:
     """Return the configuration after a delta that is complete up to `revision`.
 
     A delta at or below the held revision changes nothing, whoever offers it.
     """
-    if revision <= held.revision:
-        return held
-    rows_by_key = dict(held.rows_by_key)
+    if revision <= current.revision:
+        return current
+    rows_by_key = dict(current.rows_by_key)
     for row in rows:
         known = rows_by_key.get(row.key)
         if known is None or row.revision > known.revision:
--- a/stairquay/router/service.py
+++ b/stairquay/router/service.py
@@ -89,7 +89,7 @@
             revision=view.configuration.revision,
             list_as_of=view.membership.boxes.as_of,
         )
-        for row in view.configuration.since(request.revision):
+        for row in view.configuration.rows_since(request.revision):
             reply.rows.append(Row(key=row.key, value=row.value, revision=row.revision))
         if view.membership.boxes.as_of > request.list_as_of:
             reply.boxes = msgspec.json.encode(view.membership.boxes)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -81,4 +81,4 @@
     )
     held = merge(Configuration(), rows, 3)
     assert set(held.workspaces) == {"a"}
-    assert held.unreadable == ("config/workspace/b", "config/workspace/c")
+    assert held.unreadable_keys == ("config/workspace/b", "config/workspace/c")
