--- a/stairquay/adapters/followers.py
+++ b/stairquay/adapters/followers.py
@@ -7,7 +7,7 @@
 from stairquay.adapters.platform import HttpPlatform
 from stairquay.adapters.rpc import RouterChannels
 from stairquay.adapters.settings import ViewSettings
-from stairquay.core.freshness import majority_of_others
+from stairquay.core.freshness import peers_for_majority
 
 ROUTERS_ASKED = 2
 """Other routers that are asked for a view where the box's own does not answer."""
@@ -48,7 +48,7 @@
     ask_peers = routers_round(channels, settings, peers, need_fresh=False)
 
     async def one_round(view: View) -> None:
-        view.freshness.peers_needed = majority_of_others(max(1, len(view.live_routers())))
+        view.freshness.required_peers = peers_for_majority(max(1, len(view.live_routers())))
         if not await ask_platform(view):
             await ask_peers(view)
         await channels.keep_only({*settings.seeds, *view.routers().values()})
--- a/stairquay/core/freshness.py
+++ b/stairquay/core/freshness.py
@@ -26,7 +26,7 @@
     """
 
     limit_s: float
-    peers_needed: int = 1
+    required_peers: int = 1
     loaded: bool = False
     platform_at: float = float("-inf")
     peers_at: dict[str, float] = field(default_factory=dict)
@@ -45,8 +45,8 @@
         """Return whom this process reached within the limit."""
         if now - self.platform_at <= self.limit_s:
             return Reach.PLATFORM
-        self._forget_silent(now)
-        if len(self.peers_at) >= self.peers_needed:
+        self._drop_silent_peers(now)
+        if len(self.peers_at) >= self.required_peers:
             return Reach.PEERS
         return Reach.NOBODY
 
@@ -54,12 +54,12 @@
         """Tell whether new requests may be taken."""
         return self.loaded and self.reach(now) != Reach.NOBODY
 
-    def _forget_silent(self, now: float) -> None:
+    def _drop_silent_peers(self, now: float) -> None:
         silent = [peer for peer, at in self.peers_at.items() if now - at > self.limit_s]
         for peer in silent:
             del self.peers_at[peer]
 
 
-def majority_of_others(routers: int) -> int:
+def peers_for_majority(routers: int) -> int:
     """Return how many other routers make more than half of all, together with oneself."""
     return routers // 2
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,7 +11,7 @@
 from stairquay.core.attempt import Attempt, AttemptState
 from stairquay.core.configuration import Configuration, merge
 from stairquay.core.errors import ERROR_RESPONSES, ErrorKind, ExecutionStatus, Refusal
-from stairquay.core.freshness import Freshness, Reach, majority_of_others
+from stairquay.core.freshness import Freshness, Reach, peers_for_majority
 from stairquay.core.identity import BLOCK_TOKENS, BYTES_TOKEN, describe, digest_chain, kept_ids, workspace_key
 from stairquay.core.keeping import KEEP_THRESHOLD, Families, ReturnRates, choose_evictions, excess_bytes
 from stairquay.core.lease import HOLDER_SHARE, Held, LeaseRow, next_row, observe
@@ -296,7 +296,7 @@
 
 
 def test_a_minority_that_reaches_no_platform_is_cut_off():
-    freshness = Freshness(4.0, majority_of_others(7))
+    freshness = Freshness(4.0, peers_for_majority(7))
     freshness.on_platform(0.0)
     assert freshness.reach(4.0) == Reach.PLATFORM
     for number in range(2):
