--- a/bench/cost.py
+++ b/bench/cost.py
@@ -20,7 +20,7 @@
 
 from bench.deploy import Variant, start
 from bench.trace import HSITA, Words
-from stairquay.core.identity import describe, workspace_key
+from stairquay.core.identity import identify_prompt, workspace_key
 from stairquay.core.keeping import Families
 from stairquay.core.models import EngineCosts
 from stairquay.core.residency import EngineMemories, KeptIndex, Segment
@@ -156,7 +156,7 @@
         text = b"x" * tokens * 4
         began = time.process_time()
         for _ in range(100):
-            describe(key, text[:1000], text)
+            identify_prompt(key, text[:1000], text)
         points.append((tokens, (time.process_time() - began) / 100 * 1e6))
     found["hash_us_1000_tokens"] = round(slope(points)[0] * 1000, 2)
     return found
--- a/stairquay/core/identity.py
+++ b/stairquay/core/identity.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 BLOCK_TOKENS = 256
-BYTES_TOKEN = 4
+BYTES_PER_TOKEN = 4
 """Bytes of prompt text taken for one token where no tokenizer is at hand."""
 
 DIGEST_BYTES = 16
@@ -38,16 +38,16 @@
 
 def digest_chain(key: bytes, text: bytes) -> tuple[bytes, ...]:
     """Return the digests of the whole blocks of a prompt's text."""
-    block_bytes = BLOCK_TOKENS * BYTES_TOKEN
-    running = hashlib.blake2b(key=key, digest_size=DIGEST_BYTES)
+    block_bytes = BLOCK_TOKENS * BYTES_PER_TOKEN
+    hasher = hashlib.blake2b(key=key, digest_size=DIGEST_BYTES)
     chain = []
     for start in range(0, len(text) - block_bytes + 1, block_bytes):
-        running.update(text[start : start + block_bytes])
-        chain.append(running.copy().digest())
+        hasher.update(text[start : start + block_bytes])
+        chain.append(hasher.copy().digest())
     return tuple(chain)
 
 
-def describe(key: bytes, opening: bytes, text: bytes) -> Prompt:
+def identify_prompt(key: bytes, opening: bytes, text: bytes) -> Prompt:
     """Return the prompt's identity; `opening` is the part that a conversation never changes."""
     family = hashlib.blake2b(opening, key=key, digest_size=DIGEST_BYTES).digest()
     return Prompt(family, digest_chain(key, text), count_tokens(text))
@@ -55,10 +55,10 @@
 
 def count_tokens(text: bytes) -> int:
     """Return the estimated number of tokens of a text."""
-    return max(1, -(-len(text) // BYTES_TOKEN))
+    return max(1, -(-len(text) // BYTES_PER_TOKEN))
 
 
-def kept_ids(chain: tuple[bytes, ...], version: str) -> tuple[str, ...]:
+def block_ids(chain: tuple[bytes, ...], version: str) -> tuple[str, ...]:
     """Return the identities of a chain's blocks under a weight version, in hex."""
     key = version.encode()[: hashlib.blake2b.MAX_KEY_SIZE]
-    return tuple(hashlib.blake2b(link, key=key, digest_size=DIGEST_BYTES).hexdigest() for link in chain)
+    return tuple(hashlib.blake2b(digest, key=key, digest_size=DIGEST_BYTES).hexdigest() for digest in chain)
--- a/stairquay/entry/callers.py
+++ b/stairquay/entry/callers.py
@@ -7,12 +7,12 @@
 from result import Err, Ok, Result
 
 from stairquay.core.errors import ErrorKind, Refusal
-from stairquay.core.identity import BLOCK_TOKENS, BYTES_TOKEN
+from stairquay.core.identity import BLOCK_TOKENS, BYTES_PER_TOKEN
 
 CHAT_PATH = "/v1/chat/completions"
 COMPLETIONS_PATH = "/v1/completions"
 
-OPENING_BYTES = 4 * BLOCK_TOKENS * BYTES_TOKEN
+OPENING_BYTES = 4 * BLOCK_TOKENS * BYTES_PER_TOKEN
 """Leading bytes of a plain completion's prompt that name its family."""
 
 
--- a/stairquay/entry/prompts.py
+++ b/stairquay/entry/prompts.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from stairquay.core.errors import ErrorKind, Refusal
-from stairquay.core.identity import describe, workspace_key
+from stairquay.core.identity import identify_prompt, workspace_key
 from stairquay.core.models import Service, ServiceKind, Workspace, allowed
 from stairquay.entry.attempts import Arrival, Work
 from stairquay.entry.callers import PromptRequest, engine_body
@@ -56,7 +56,7 @@
     """Return how a prompt is run."""
     workspace = arrival.workspace
     key = workspace_key(workspace.kept_secret, workspace.id, arrival.service.id)
-    described = describe(key, prompt.opening, prompt.text)
+    described = identify_prompt(key, prompt.opening, prompt.text)
     choose = routes.chooser(arrival.service, workspace, described, prompt.turn)
 
     def prepare(target: Target, run_id: str, urgent: bool) -> Outgoing:
--- a/stairquay/entry/targets.py
+++ b/stairquay/entry/targets.py
@@ -11,7 +11,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.adapters.router_pb2 import ReportRequest, RouteReply, RouteRequest, RunOutcome
 from stairquay.core.errors import ErrorKind, Refusal
-from stairquay.core.identity import Prompt, kept_ids
+from stairquay.core.identity import Prompt, block_ids
 from stairquay.core.models import Service, Workspace
 from stairquay.core.ownership import ranked
 from stairquay.entry.context import EntryContext
@@ -159,7 +159,7 @@
 def _target(reply: RouteReply, router: str, prompt: Prompt) -> Result[Target, Refusal]:
     if not reply.ticket:
         return Err(Refusal(ErrorKind.NO_ENDPOINT, retry_after_s=reply.retry_after_s))
-    ids = kept_ids(prompt.chain, reply.version)
+    ids = block_ids(prompt.chain, reply.version)
     return Ok(Target(reply.endpoint, reply.address, reply.version, ids, router, reply.ticket))
 
 
--- a/stairquay/router/service.py
+++ b/stairquay/router/service.py
@@ -27,7 +27,7 @@
     ViewRequest,
 )
 from stairquay.adapters.router_pb2_grpc import RouterServicer
-from stairquay.core.identity import BLOCK_TOKENS, Prompt, kept_ids
+from stairquay.core.identity import BLOCK_TOKENS, Prompt, block_ids
 from stairquay.core.keeping import segment_bytes
 from stairquay.core.models import Service
 from stairquay.core.routing import POLICIES, Decision, Demand
@@ -153,7 +153,7 @@
             turn=max(1, request.turn),
             endpoint=decision.endpoint,
             version=decision.version,
-            ids=kept_ids(prompt.chain, decision.version),
+            ids=block_ids(prompt.chain, decision.version),
             created_at=monotonic(),
         )
         self.state.next_ticket += 1
--- a/stairquay/router/state.py
+++ b/stairquay/router/state.py
@@ -7,7 +7,7 @@
 from stairquay.adapters.follower import View
 from stairquay.adapters.metrics import RouterMetrics
 from stairquay.adapters.settings import RouterSettings
-from stairquay.core.identity import Prompt, kept_ids
+from stairquay.core.identity import Prompt, block_ids
 from stairquay.core.keeping import Families, ReturnRates
 from stairquay.core.load import EndpointLoad
 from stairquay.core.models import Box, BoxKind, Service, ServiceKind
@@ -150,7 +150,7 @@
     for endpoint in wanted:
         version = _version(state, service, endpoint)
         if version not in ids_by_version:
-            ids_by_version[version] = kept_ids(prompt.chain, version)
+            ids_by_version[version] = block_ids(prompt.chain, version)
         found.append(_candidate(state, service, stores, endpoint, version, ids_by_version[version], now))
     return found
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -12,7 +12,14 @@
 from stairquay.core.configuration import Configuration, merge
 from stairquay.core.errors import ERROR_RESPONSES, ErrorKind, ExecutionStatus, Refusal
 from stairquay.core.freshness import Freshness, Reach, peers_for_majority
-from stairquay.core.identity import BLOCK_TOKENS, BYTES_TOKEN, describe, digest_chain, kept_ids, workspace_key
+from stairquay.core.identity import (
+    BLOCK_TOKENS,
+    BYTES_PER_TOKEN,
+    block_ids,
+    digest_chain,
+    identify_prompt,
+    workspace_key,
+)
 from stairquay.core.keeping import KEEP_THRESHOLD, Families, ReturnRates, choose_evictions, excess_bytes
 from stairquay.core.lease import HOLDER_SHARE, Held, LeaseRow, next_row, observe
 from stairquay.core.load import EndpointLoad, LoadReport
@@ -24,7 +31,7 @@
 from stairquay.core.routing import Candidate, Demand, KeptRun, best_way, choose
 from stairquay.core.row import Row
 
-BLOCK = BLOCK_TOKENS * BYTES_TOKEN
+BLOCK = BLOCK_TOKENS * BYTES_PER_TOKEN
 ROWS = st.lists(
     st.tuples(st.sampled_from("abcd"), st.one_of(st.none(), st.text(max_size=2))), min_size=1, max_size=12
 )
@@ -81,7 +88,7 @@
     assert long[: len(short)] == short
     other = digest_chain(workspace_key("secret", "w2", "s"), text)
     assert not set(other) & set(short)
-    assert not set(kept_ids(short, "v1")) & set(kept_ids(short, "v2"))
+    assert not set(block_ids(short, "v1")) & set(block_ids(short, "v2"))
 
 
 def test_a_changed_block_changes_all_identities_after_it():
@@ -95,7 +102,10 @@
 
 def test_a_conversation_keeps_its_family_as_it_grows():
     key = workspace_key("secret", "w", "s")
-    assert describe(key, b"open", b"open and more").family == describe(key, b"open", b"open").family
+    assert (
+        identify_prompt(key, b"open", b"open and more").family
+        == identify_prompt(key, b"open", b"open").family
+    )
 
 
 @given(st.sets(st.text(min_size=1, max_size=3), min_size=2, max_size=9), st.binary(min_size=4, max_size=4))
