--- a/bench/cost.py
+++ b/bench/cost.py
@@ -23,7 +23,7 @@
 from stairquay.core.identity import identify_prompt, workspace_key
 from stairquay.core.keeping import Families
 from stairquay.core.models import EngineCosts
-from stairquay.core.residency import EngineMemories, KeptIndex, Segment
+from stairquay.core.residency import EngineCaches, Segment, StoredBlockIndex
 from stairquay.core.routing import Candidate, Demand, choose
 from tests.launcher import Cluster, hash_key
 from tests.session import chat, expected_text, send_chat
@@ -118,7 +118,7 @@
 
 
 def resident_blocks(size: int) -> Any:
-    memories = EngineMemories()
+    memories = EngineCaches()
     memory = memories.of("engine")
     memory.capacity_tokens = size * 256
     memory.touch(f"{number:032x}" for number in range(size))
@@ -126,7 +126,7 @@
 
 
 def kept_blocks(size: int) -> Any:
-    index = KeptIndex()
+    index = StoredBlockIndex()
     for start_at in range(0, size, 30):
         ids = tuple(f"{number:032x}" for number in range(start_at, start_at + 30))
         sums = tuple(f"{number:032x}" for number in range(start_at, start_at + 30))
--- a/stairquay/core/residency.py
+++ b/stairquay/core/residency.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class EngineMemory:
+class EngineCache:
     """Blocks that one engine is believed to hold, least recently used first."""
 
     capacity_tokens: int = DEFAULT_CACHE_TOKENS
@@ -34,7 +34,7 @@
         for block in ids:
             self.blocks.pop(block, None)
 
-    def prefix(self, ids: tuple[str, ...]) -> int:
+    def prefix_length(self, ids: tuple[str, ...]) -> int:
         """Return how many leading blocks of a chain are believed held."""
         for count, block in enumerate(ids):
             if block not in self.blocks:
@@ -42,15 +42,15 @@
         return len(ids)
 
 
-class EngineMemories:
+class EngineCaches:
     """Believed memory of every engine, by endpoint id."""
 
     def __init__(self) -> None:
-        self.by_endpoint: dict[str, EngineMemory] = {}
+        self.by_endpoint: dict[str, EngineCache] = {}
 
-    def of(self, endpoint: str) -> EngineMemory:
+    def of(self, endpoint: str) -> EngineCache:
         """Return the memory of an endpoint, empty at first."""
-        return self.by_endpoint.setdefault(endpoint, EngineMemory())
+        return self.by_endpoint.setdefault(endpoint, EngineCache())
 
     def reset(self, endpoint: str) -> None:
         """Forget all about an endpoint that started anew."""
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True)
-class KeptBlock:
+class StoredBlock:
     """One block in a store box: its place in a segment, and the checksum of its bytes."""
 
     store: str
@@ -92,19 +92,19 @@
     used_at: float = 0.0
 
 
-class KeptIndex:
+class StoredBlockIndex:
     """Blocks in store boxes by identity, derived from the boxes' own catalogues."""
 
     def __init__(self) -> None:
         self.segments_by_store: dict[str, dict[str, Segment]] = {}
-        self.stores_by_id: dict[str, dict[str, KeptBlock]] = {}
+        self.locations_by_block: dict[str, dict[str, StoredBlock]] = {}
 
     def add(self, store: str, segment: Segment) -> None:
         """Take in a segment whose manifest is written."""
         self.segments_by_store.setdefault(store, {})[segment.name] = segment
         for index, block in enumerate(segment.ids):
-            place = KeptBlock(store, segment.name, index, segment.checksums[index])
-            self.stores_by_id.setdefault(block, {})[store] = place
+            location = StoredBlock(store, segment.name, index, segment.checksums[index])
+            self.locations_by_block.setdefault(block, {})[store] = location
 
     def remove(self, store: str, name: str) -> None:
         """Forget a segment whose manifest is gone."""
@@ -112,7 +112,7 @@
         if segment is None:
             return
         for block in segment.ids:
-            self._forget(block, store, name)
+            self._remove_location(block, store, name)
 
     def reset(self, store: str) -> None:
         """Forget all about a store box that started anew or left."""
@@ -121,23 +121,23 @@
 
     def has(self, block: str) -> bool:
         """Tell whether any store box is believed to hold a block."""
-        return block in self.stores_by_id
+        return block in self.locations_by_block
 
-    def run(self, store: str, ids: tuple[str, ...], start: int) -> tuple[KeptBlock, ...]:
+    def contiguous_blocks(self, store: str, ids: tuple[str, ...], start: int) -> tuple[StoredBlock, ...]:
         """Return the unbroken run of a chain's blocks in one store, from index `start` on."""
         found = []
         for block in ids[start:]:
-            place = self.stores_by_id.get(block, {}).get(store)
-            if place is None:
+            location = self.locations_by_block.get(block, {}).get(store)
+            if location is None:
                 break
-            found.append(place)
+            found.append(location)
         return tuple(found)
 
-    def _forget(self, block: str, store: str, name: str) -> None:
-        places = self.stores_by_id.get(block, {})
-        place = places.get(store)
-        if place is None or place.segment != name:
+    def _remove_location(self, block: str, store: str, name: str) -> None:
+        locations = self.locations_by_block.get(block, {})
+        location = locations.get(store)
+        if location is None or location.segment != name:
             return
-        del places[store]
-        if not places:
-            del self.stores_by_id[block]
+        del locations[store]
+        if not locations:
+            del self.locations_by_block[block]
--- a/stairquay/core/routing.py
+++ b/stairquay/core/routing.py
@@ -6,7 +6,7 @@
 
 from stairquay.core.identity import BLOCK_TOKENS
 from stairquay.core.models import EngineCosts
-from stairquay.core.residency import KeptBlock
+from stairquay.core.residency import StoredBlock
 
 FULL_SCAN = 16
 """Up to this many endpoints, all are compared."""
@@ -22,11 +22,11 @@
 
 
 @dataclass(frozen=True)
-class KeptRun:
+class StoredRun:
     """Blocks that a store box can bring after those already resident, and its link's queue and speed."""
 
     store: str
-    blocks: tuple[KeptBlock, ...]
+    blocks: tuple[StoredBlock, ...]
     link_wait_s: float = 0.0
     link_bytes_s: float = 3e9
 
@@ -40,7 +40,7 @@
     queued_tokens: float = 0.0
     running: int = 0
     resident_blocks: int = 0
-    kept: tuple[KeptRun, ...] = ()
+    kept: tuple[StoredRun, ...] = ()
     loading_s: float = 0.0
 
 
@@ -57,7 +57,7 @@
     """Blocks to bring from a store box before the run starts."""
 
     store: str
-    blocks: tuple[KeptBlock, ...]
+    blocks: tuple[StoredBlock, ...]
 
 
 @dataclass(frozen=True)
@@ -101,7 +101,7 @@
     return min(ways, key=lambda way: way.cost)
 
 
-def import_s(run: KeptRun, blocks: int, costs: EngineCosts) -> float:
+def import_s(run: StoredRun, blocks: int, costs: EngineCosts) -> float:
     """Return seconds to bring a number of blocks, the link's queue included."""
     return run.link_wait_s + IMPORT_SETUP_S + blocks * block_bytes(costs) / run.link_bytes_s
 
@@ -111,7 +111,7 @@
     return BLOCK_TOKENS * costs.kv_bytes_token
 
 
-def _bends(candidate: Candidate, run: KeptRun, costs: EngineCosts) -> set[int]:
+def _bends(candidate: Candidate, run: StoredRun, costs: EngineCosts) -> set[int]:
     spare_s = _queue_s(candidate, costs) - run.link_wait_s - IMPORT_SETUP_S
     fitting = int(max(0.0, spare_s) * run.link_bytes_s / block_bytes(costs))
     # Blocks are whole: the bend may lie between what fits and one more.
@@ -122,8 +122,8 @@
     demand: Demand,
     candidate: Candidate,
     costs: EngineCosts,
-    run: KeptRun | None,
-    blocks: tuple[KeptBlock, ...],
+    run: StoredRun | None,
+    blocks: tuple[StoredBlock, ...],
 ) -> Decision:
     held = (candidate.resident_blocks + len(blocks)) * BLOCK_TOKENS
     missing = max(1, demand.tokens - held)
--- a/stairquay/router/exporting.py
+++ b/stairquay/router/exporting.py
@@ -84,8 +84,8 @@
         live = self.state.stores().get(store)
         if service is None or box is None or live is None:
             return
-        resident = self.state.memories.of(ticket.endpoint).prefix(ticket.ids)
-        held = len(self.state.kept.run(store, ticket.ids, 0))
+        resident = self.state.memories.of(ticket.endpoint).prefix_length(ticket.ids)
+        held = len(self.state.kept.contiguous_blocks(store, ticket.ids, 0))
         self._renew(store, ticket, held)
         ids = ticket.ids[held:resident]
         size = len(ids) * block_bytes(service.costs)
@@ -133,7 +133,7 @@
         if not live:
             return None
         order = ranked(ticket.prompt.family, live)
-        held = {key: len(self.state.kept.run(key, ticket.ids, 0)) for key in order}
+        held = {key: len(self.state.kept.contiguous_blocks(key, ticket.ids, 0)) for key in order}
         most = max(order, key=lambda key: held[key])
         return most if held[most] > max(held[order[0]], len(ticket.ids) / 2) else order[0]
 
@@ -151,7 +151,7 @@
         """Write anew when the segments of a returned prompt were used, and what they are worth."""
         now = monotonic()
         worth = self._worth(ticket)
-        blocks = self.state.kept.run(store, ticket.ids, 0)[:held]
+        blocks = self.state.kept.contiguous_blocks(store, ticket.ids, 0)[:held]
         for name in {block.segment for block in blocks}:
             segment = self.state.kept.segments_by_store[store][name]
             if now - self.renewed_at.get(name, float("-inf")) < RENEW_S:
--- a/stairquay/router/state.py
+++ b/stairquay/router/state.py
@@ -11,8 +11,8 @@
 from stairquay.core.keeping import Families, ReturnRates
 from stairquay.core.load import EndpointLoad
 from stairquay.core.models import Box, BoxKind, Service, ServiceKind
-from stairquay.core.residency import EngineMemories, KeptIndex
-from stairquay.core.routing import Candidate, KeptRun
+from stairquay.core.residency import EngineCaches, StoredBlockIndex
+from stairquay.core.routing import Candidate, StoredRun
 
 SILENT_S = 3.0
 """An endpoint not heard from for this long is used only where no other is left; a store box not at all."""
@@ -80,9 +80,9 @@
     view: View
     random: Random
     metrics: RouterMetrics = field(default_factory=RouterMetrics)
-    memories: EngineMemories = field(default_factory=EngineMemories)
+    memories: EngineCaches = field(default_factory=EngineCaches)
     loads_by_endpoint: dict[str, EndpointLoad] = field(default_factory=dict)
-    kept: KeptIndex = field(default_factory=KeptIndex)
+    kept: StoredBlockIndex = field(default_factory=StoredBlockIndex)
     links_by_store: dict[str, Link] = field(default_factory=dict)
     stores_heard_at: dict[str, float] = field(default_factory=dict)
     rates: ReturnRates = field(default_factory=ReturnRates)
@@ -173,7 +173,7 @@
     now: float,
 ) -> Candidate:
     load = state.load(endpoint)
-    resident = state.memories.of(endpoint).prefix(ids)
+    resident = state.memories.of(endpoint).prefix_length(ids)
     return Candidate(
         endpoint=endpoint,
         version=version,
@@ -192,14 +192,14 @@
     ids: tuple[str, ...],
     resident: int,
     now: float,
-) -> tuple[KeptRun, ...]:
+) -> tuple[StoredRun, ...]:
     if resident == len(ids):
         return ()
     runs = []
     for store in stores:
-        blocks = state.kept.run(store, ids, resident)
+        blocks = state.kept.contiguous_blocks(store, ids, resident)
         if blocks:
             link = state.link(store)
             speed = link.speed(service.costs.link_bytes_s)
-            runs.append(KeptRun(store, blocks, link.wait_s(now), speed))
+            runs.append(StoredRun(store, blocks, link.wait_s(now), speed))
     return tuple(runs)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -26,9 +26,9 @@
 from stairquay.core.membership import Membership
 from stairquay.core.models import Box, BoxKind, BoxList, BoxState, EngineCosts, Workspace
 from stairquay.core.ownership import ranked
-from stairquay.core.residency import EngineMemory, KeptBlock, KeptIndex, Segment
+from stairquay.core.residency import EngineCache, Segment, StoredBlock, StoredBlockIndex
 from stairquay.core.retry import Ejector, RetryBudget
-from stairquay.core.routing import Candidate, Demand, KeptRun, best_way, choose
+from stairquay.core.routing import Candidate, Demand, StoredRun, best_way, choose
 from stairquay.core.row import Row
 
 BLOCK = BLOCK_TOKENS * BYTES_PER_TOKEN
@@ -120,8 +120,8 @@
 
 
 def kept(count, wait_s=0.0, rate=4e9):
-    blocks = tuple(KeptBlock("s", "seg", number, "") for number in range(count))
-    return KeptRun("s", blocks, wait_s, rate)
+    blocks = tuple(StoredBlock("s", "seg", number, "") for number in range(count))
+    return StoredRun("s", blocks, wait_s, rate)
 
 
 @given(st.integers(1, 60), st.floats(0, 3), st.floats(1e8, 1e11), st.floats(0, 50_000), st.floats(0, 1))
@@ -318,7 +318,7 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 30)), max_size=60))
 def test_believed_memory_stays_within_its_capacity(steps):
-    memory = EngineMemory(capacity_tokens=8 * BLOCK_TOKENS)
+    memory = EngineCache(capacity_tokens=8 * BLOCK_TOKENS)
     for touch, block in steps:
         (memory.touch if touch else memory.drop)([str(block)])
         assert len(memory.blocks) <= 8
@@ -329,14 +329,19 @@
 
 
 def test_a_kept_block_is_found_until_its_last_copy_goes():
-    index = KeptIndex()
+    index = StoredBlockIndex()
     index.add("s", segment("one", "abc"))
     index.add("s", segment("two", "cd"))
-    assert [place.segment for place in index.run("s", tuple("abcd"), 0)] == ["one", "one", "two", "two"]
+    assert [place.segment for place in index.contiguous_blocks("s", tuple("abcd"), 0)] == [
+        "one",
+        "one",
+        "two",
+        "two",
+    ]
     index.remove("s", "two")
-    assert len(index.run("s", tuple("abcd"), 0)) == 2
+    assert len(index.contiguous_blocks("s", tuple("abcd"), 0)) == 2
     index.reset("s")
-    assert not index.has("a") and not index.stores_by_id
+    assert not index.has("a") and not index.locations_by_block
 
 
 def test_evictions_take_the_least_worth_and_no_more_than_needed():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 from stairquay.core.membership import Membership
 from stairquay.core.models import Box, BoxKind, BoxList, BoxState, EngineCosts, Workspace
 from stairquay.core.ownership import ranked
-from stairquay.core.residency import EngineMemories, KeptIndex, Segment
+from stairquay.core.residency import EngineCaches, Segment, StoredBlockIndex
 from stairquay.core.retry import RetryBudget
 from stairquay.core.routing import Candidate, Demand, choose, least_loaded
 from stairquay.core.row import Row
@@ -154,7 +154,7 @@
 
 
 def test_a_new_owner_learns_kept_context_from_the_catalogues_alone():
-    index, rebuilt = KeptIndex(), KeptIndex()
+    index, rebuilt = StoredBlockIndex(), StoredBlockIndex()
     for number in range(3_000):
         ids = tuple(f"{number}-{block}" for block in range(30))
         segment = Segment(f"s{number}", ids, ids, 35_840_000, "v1")
@@ -162,14 +162,14 @@
     for store, segments in index.segments_by_store.items():
         for segment in segments.values():
             rebuilt.add(store, segment)
-    assert rebuilt.stores_by_id == index.stores_by_id
-    assert len(rebuilt.run("store-0", tuple(f"0-{block}" for block in range(30)), 0)) == 30
+    assert rebuilt.locations_by_block == index.locations_by_block
+    assert len(rebuilt.contiguous_blocks("store-0", tuple(f"0-{block}" for block in range(30)), 0)) == 30
 
 
 def test_a_restarted_runner_leaves_nothing_behind():
-    memories = EngineMemories()
+    memories = EngineCaches()
     for number in range(200):
         memories.of(f"r{number}").touch(f"{number}-{block}" for block in range(100))
     memories.reset("r7")
-    assert memories.of("r7").prefix(("7-0",)) == 0
-    assert memories.of("r8").prefix(("8-0", "8-1")) == 2
+    assert memories.of("r7").prefix_length(("7-0",)) == 0
+    assert memories.of("r8").prefix_length(("8-0", "8-1")) == 2
