--- a/bench/cost.py
+++ b/bench/cost.py
@@ -21,9 +21,9 @@
 from bench.deploy import Variant, start
 from bench.trace import HSITA, Words
 from stairquay.core.identity import identify_prompt, workspace_key
-from stairquay.core.keeping import Families
 from stairquay.core.models import EngineCosts
 from stairquay.core.residency import EngineCaches, Segment, StoredBlockIndex
+from stairquay.core.retention import TurnCounter
 from stairquay.core.routing import Candidate, Demand, choose
 from tests.launcher import Cluster, hash_key
 from tests.session import chat, expected_text, send_chat
@@ -111,7 +111,7 @@
 
 
 def families(size: int) -> Any:
-    known = Families(limit=size)
+    known = TurnCounter(limit=size)
     for number in range(size):
         known.on_turn(number.to_bytes(16, "big"), 1)
     return known
--- a/stairquay/adapters/settings.py
+++ b/stairquay/adapters/settings.py
@@ -8,8 +8,8 @@
 from result import Err, Ok, Result
 
 from stairquay.core.decode import decode
-from stairquay.core.keeping import EVICTION_ORDERS, KEEP_POLICIES
 from stairquay.core.mistake import Mistake
+from stairquay.core.retention import EVICTION_ORDERS, KEEP_POLICIES
 from stairquay.core.routing import POLICIES
 
 ROUND_LIMIT = 2.0
--- a/stairquay/control/upkeep.py
+++ b/stairquay/control/upkeep.py
@@ -19,10 +19,10 @@
 from stairquay.adapters.settings import ControlSettings, KeepSettings
 from stairquay.adapters.store import Catalogue, delete_manifest, fetch_catalogue, free_data
 from stairquay.control.leader import Leader
-from stairquay.core.keeping import EVICTION_ORDERS, choose_evictions, excess_bytes, segment_bytes
 from stairquay.core.models import Box, BoxKind
 from stairquay.core.plan import PLAN_PREFIX
 from stairquay.core.residency import Segment
+from stairquay.core.retention import EVICTION_ORDERS, choose_evictions, excess_bytes, segment_bytes
 from stairquay.core.row import Row
 
 CALL_TIMEOUT_S = 2.0
--- a/stairquay/core/keeping.py
+++ b/stairquay/core/retention.py
@@ -22,13 +22,13 @@
 may only be long, and a weak prior stopped all exports after five new conversations.
 """
 
-HIGH_WATER = 0.95
+HIGH_WATERMARK = 0.95
 """Share of a store box that may be taken, what is expected to come in included."""
 
 MAX_INFLOW_SHARE = 0.2
 """Share of a store box that is kept free for what comes in, at most."""
 
-AGE_SCALE_S = 3600.0
+AGE_HALVING_S = 3600.0
 """Age at which the worth of kept context has halved."""
 
 
@@ -54,14 +54,14 @@
         return min(1.0, returned / (self.seen.get(key, 0.0) + PRIOR_SEEN))
 
 
-MAX_FAMILIES = 50_000
+MAX_TRACKED_FAMILIES = 50_000
 
 
 @dataclass
-class Families:
+class TurnCounter:
     """How many turns each conversation has had, least recently seen first."""
 
-    limit: int = MAX_FAMILIES
+    limit: int = MAX_TRACKED_FAMILIES
     turns_by_family: OrderedDict[bytes, int] = field(default_factory=OrderedDict)
 
     def on_turn(self, family: bytes, turn: int) -> int:
@@ -125,7 +125,7 @@
 def order_by_saving(segment: Segment, now: float) -> float:
     """Return the expected saving per byte; lowest goes first."""
     age_s = max(0.0, now - segment.used_at)
-    return segment.value / (1.0 + age_s / AGE_SCALE_S)
+    return segment.value / (1.0 + age_s / AGE_HALVING_S)
 
 
 def order_by_use(segment: Segment, _: float) -> float:
@@ -139,14 +139,14 @@
 }
 
 
-def excess_bytes(used: int, bare: int, inflow: int, capacity: int) -> float:
+def excess_bytes(used: int, pending_free: int, inflow: int, capacity: int) -> float:
     """Return the bytes to give up now so that a store box has room until they are freed.
 
     used: bytes taken, those of given-up segments too; bare: bytes given up and not freed yet; inflow:
     bytes that came in during the last grace period, as many as are expected in the next.
     """
     expected = min(inflow, capacity * MAX_INFLOW_SHARE)
-    return used - bare + expected - capacity * HIGH_WATER
+    return used - pending_free + expected - capacity * HIGH_WATERMARK
 
 
 def choose_evictions(
--- a/stairquay/router/exporting.py
+++ b/stairquay/router/exporting.py
@@ -15,10 +15,10 @@
 from stairquay.adapters.engine import Exported, ExportOrder, export_blocks
 from stairquay.adapters.store import put_manifest, renew_manifest
 from stairquay.core.admission import TokenBucket
-from stairquay.core.keeping import KEEP_POLICIES, ExportCandidate
 from stairquay.core.models import Service
 from stairquay.core.ownership import ranked
 from stairquay.core.residency import Segment
+from stairquay.core.retention import KEEP_POLICIES, ExportCandidate
 from stairquay.core.routing import block_bytes
 from stairquay.router.state import RouterState, Ticket
 
--- a/stairquay/router/service.py
+++ b/stairquay/router/service.py
@@ -28,8 +28,8 @@
 )
 from stairquay.adapters.router_pb2_grpc import RouterServicer
 from stairquay.core.identity import BLOCK_TOKENS, Prompt, block_ids
-from stairquay.core.keeping import segment_bytes
 from stairquay.core.models import Service
+from stairquay.core.retention import segment_bytes
 from stairquay.core.routing import POLICIES, Decision, Demand
 from stairquay.router.exporting import Exporter
 from stairquay.router.importing import Importer, Want
--- a/stairquay/router/state.py
+++ b/stairquay/router/state.py
@@ -8,10 +8,10 @@
 from stairquay.adapters.metrics import RouterMetrics
 from stairquay.adapters.settings import RouterSettings
 from stairquay.core.identity import Prompt, block_ids
-from stairquay.core.keeping import Families, ReturnRates
 from stairquay.core.load import EndpointLoad
 from stairquay.core.models import Box, BoxKind, Service, ServiceKind
 from stairquay.core.residency import EngineCaches, StoredBlockIndex
+from stairquay.core.retention import ReturnRates, TurnCounter
 from stairquay.core.routing import Candidate, StoredRun
 
 SILENT_S = 3.0
@@ -86,7 +86,7 @@
     links_by_store: dict[str, Link] = field(default_factory=dict)
     stores_heard_at: dict[str, float] = field(default_factory=dict)
     rates: ReturnRates = field(default_factory=ReturnRates)
-    families: Families = field(default_factory=Families)
+    families: TurnCounter = field(default_factory=TurnCounter)
     tickets_by_number: dict[int, Ticket] = field(default_factory=dict)
     next_ticket: int = 0
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -20,13 +20,13 @@
     identify_prompt,
     workspace_key,
 )
-from stairquay.core.keeping import KEEP_THRESHOLD, Families, ReturnRates, choose_evictions, excess_bytes
 from stairquay.core.lease import HOLDER_SHARE, Held, LeaseRow, next_row, observe
 from stairquay.core.load import EndpointLoad, LoadReport
 from stairquay.core.membership import Membership
 from stairquay.core.models import Box, BoxKind, BoxList, BoxState, EngineCosts, Workspace
 from stairquay.core.ownership import ranked
 from stairquay.core.residency import EngineCache, Segment, StoredBlock, StoredBlockIndex
+from stairquay.core.retention import KEEP_THRESHOLD, ReturnRates, TurnCounter, choose_evictions, excess_bytes
 from stairquay.core.retry import Ejector, RetryBudget
 from stairquay.core.routing import Candidate, Demand, StoredRun, best_way, choose
 from stairquay.core.row import Row
@@ -374,7 +374,7 @@
 
 
 def test_return_rates_tell_those_who_come_back_from_those_who_do_not():
-    rates, families = ReturnRates(), Families()
+    rates, families = ReturnRates(), TurnCounter()
     for number in range(1_000):
         rates.on_turn("once", families.on_turn(b"once%d" % number, 1))
         for _ in range(2):
