--- a/stairquay/control/leader.py
+++ b/stairquay/control/leader.py
@@ -11,7 +11,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.adapters.metrics import ControlMetrics
 from stairquay.adapters.ports import Commit, Committed, Condition, Table, Write
-from stairquay.core.lease import Held, LeaseRow, Observed, next_row, observe
+from stairquay.core.lease import HeldLease, LeaseRow, ObservedLease, next_lease_row, observe
 from stairquay.core.row import Row
 
 LEASE_KEY = "lease/control"
@@ -27,8 +27,8 @@
         self.name = name
         self.lease_s = lease_s
         self.metrics = metrics
-        self.held: Held | None = None
-        self.observed: Observed | None = None
+        self.held: HeldLease | None = None
+        self.observed: ObservedLease | None = None
         self.taken_at = float("-inf")
 
     def may_act(self) -> bool:
@@ -61,7 +61,7 @@
         if row is not None and current is not None and not self._is_ours(row, current):
             self.held = None
             self.observed = observe(self.observed, current, row.revision, monotonic())
-            if not self.observed.lapsed(monotonic()):
+            if not self.observed.expired(monotonic()):
                 return
         await self._write(row, current)
 
@@ -85,14 +85,14 @@
     async def _write(self, row: Row | None, current: LeaseRow | None) -> None:
         sent_at = monotonic()
         ours = self.held is not None and current is not None and current.token == self.held.row.token
-        wanted = next_row(current if ours else _foreign(current), self.name, self.lease_s)
+        wanted = next_lease_row(current if ours else _foreign(current), self.name, self.lease_s)
         outcome = await self.table.commit(_commit(wanted, row.revision if row is not None else 0))
         if not isinstance(outcome, Ok) or not isinstance(outcome.ok_value, Committed):
             return
         if not ours:
             self.taken_at = monotonic()
             logging.info("lease taken, fencing token %d", wanted.token)
-        self.held = Held(wanted, outcome.ok_value.revision, sent_at)
+        self.held = HeldLease(wanted, outcome.ok_value.revision, sent_at)
 
 
 def _lease(row: Row | None) -> LeaseRow | None:
--- a/stairquay/core/lease.py
+++ b/stairquay/core/lease.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class HeldLease:
     """A lease as its holder knows it: `sent_at` is the monotonic time before the write was sent."""
 
     row: LeaseRow
@@ -37,26 +37,26 @@
 
 
 @dataclass(frozen=True)
-class Observed:
+class ObservedLease:
     """A rival's view: the row's revision and the monotonic time it was first seen."""
 
     row: LeaseRow
     revision: int
     first_seen: float
 
-    def lapsed(self, now: float) -> bool:
+    def expired(self, now: float) -> bool:
         """Tell whether the holder must have stopped by now."""
         return now >= self.first_seen + self.row.duration_s
 
 
-def observe(before: Observed | None, row: LeaseRow, revision: int, now: float) -> Observed:
+def observe(previous: ObservedLease | None, row: LeaseRow, revision: int, now: float) -> ObservedLease:
     """Return the rival's view after a read; an unchanged row keeps its first sight."""
-    if before is not None and before.revision == revision:
-        return before
-    return Observed(row, revision, now)
+    if previous is not None and previous.revision == revision:
+        return previous
+    return ObservedLease(row, revision, now)
 
 
-def next_row(current: LeaseRow | None, holder: str, duration_s: float) -> LeaseRow:
+def next_lease_row(current: LeaseRow | None, holder: str, duration_s: float) -> LeaseRow:
     """Return the row with which `holder` takes or renews the lease."""
     if current is None:
         return LeaseRow(holder, 1, duration_s)
--- a/stairquay/serving/orders.py
+++ b/stairquay/serving/orders.py
@@ -15,7 +15,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.adapters.ports import Commit, Committed, Condition, Write
 from stairquay.core.fleet import Endpoint
-from stairquay.core.lease import Held, LeaseRow, Observed, next_row, observe
+from stairquay.core.lease import HeldLease, LeaseRow, ObservedLease, next_lease_row, observe
 from stairquay.core.rollout import EngineState, Given, Order, next_orders, outdated
 from stairquay.serving.decisions import Decision
 from stairquay.serving.ports import OrderAnswer, OwnTable, Peers, VersionOrder
@@ -40,8 +40,8 @@
         self.state = state
         self.own = own
         self.peers = peers
-        self.held: Held | None = None
-        self.observed: Observed | None = None
+        self.held: HeldLease | None = None
+        self.observed: ObservedLease | None = None
         self.given: dict[tuple[str, int], Given] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -162,7 +162,7 @@
 
     async def _write(self, current: LeaseRow | None, revision: int) -> bool:
         holder = self.state.settings.id
-        row = next_row(current, holder, self.state.settings.lease.duration_s)
+        row = next_lease_row(current, holder, self.state.settings.lease.duration_s)
         if self.held is None and current is not None and current.holder == holder:
             row = replace(row, token=current.token + 1)
         sent_at = monotonic()
@@ -172,7 +172,7 @@
         if not isinstance(answer, Err) and isinstance(answer.ok_value, Committed):
             if self.held is None:
                 self.state.log.line(Decision.LEASE, outcome="taken", fence=row.token, revision=revision)
-            self.held = Held(row, answer.ok_value.revision, sent_at)
+            self.held = HeldLease(row, answer.ok_value.revision, sent_at)
             self.state.metrics.leading.set(1)
             return self.held.may_act(monotonic())
         if self.held is not None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -20,7 +20,7 @@
     identify_prompt,
     workspace_key,
 )
-from stairquay.core.lease import HOLDER_SHARE, Held, LeaseRow, next_row, observe
+from stairquay.core.lease import HOLDER_SHARE, HeldLease, LeaseRow, next_lease_row, observe
 from stairquay.core.load import EndpointLoad, LoadReport
 from stairquay.core.membership import Membership
 from stairquay.core.models import Box, BoxKind, BoxList, BoxState, EngineCosts, Workspace
@@ -271,18 +271,18 @@
 
 def test_a_holder_stops_before_a_rival_may_start():
     row = LeaseRow("a", 3, 10.0)
-    held = Held(row, 7, sent_at=100.0)
+    held = HeldLease(row, 7, sent_at=100.0)
     rival = observe(None, row, 7, 100.5)
     rival = observe(rival, row, 7, 104.0)
     assert not held.may_act(100.0 + 10.0 * HOLDER_SHARE)
-    assert not rival.lapsed(110.0) and rival.lapsed(110.5)
+    assert not rival.expired(110.0) and rival.expired(110.5)
 
 
 @given(st.lists(st.sampled_from("abc"), min_size=1, max_size=20))
 def test_fencing_tokens_only_grow(holders):
     row = None
     for holder in holders:
-        after = next_row(row, holder, 5.0)
+        after = next_lease_row(row, holder, 5.0)
         if row is not None:
             assert after.token == row.token + (holder != row.holder)
             assert after.renewal > row.renewal
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -12,7 +12,7 @@
 import pytest
 
 from stairquay.box import start_box
-from stairquay.core.lease import Held, LeaseRow
+from stairquay.core.lease import HeldLease, LeaseRow
 from stairquay.serving.following import apply_endpoints, apply_operators
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import EndpointChanges, OperatorChanges
@@ -49,7 +49,7 @@
     apply_endpoints(state, EndpointChanges(1, True), now_of("following"))
     state.suspect("box-2", 3.0)
     giver = OrderGiver(state, None, None)
-    giver.held = Held(LeaseRow("b-1", 1, 3.0), 1, now_of("orders"))
+    giver.held = HeldLease(LeaseRow("b-1", 1, 3.0), 1, now_of("orders"))
     assert state.keys_fresh() and giver.held.may_act(now_of("orders"))
     suspend()
     assert not state.keys_fresh()
