--- a/stairquay/core/load.py
+++ b/stairquay/core/load.py
@@ -23,20 +23,20 @@
     """The last report, and the prompts sent since as (sent at, tokens to prefill)."""
 
     report: LoadReport = field(default_factory=LoadReport)
-    sent: deque[tuple[float, int]] = field(default_factory=deque)
+    unreported: deque[tuple[float, int]] = field(default_factory=deque)
     in_flight: int = 0
-    heard_at: float = 0.0
+    received_at: float = 0.0
 
     def on_report(self, report: LoadReport, now: float) -> None:
         """Take in a report, and drop the prompts that it already counts."""
         self.report = report
-        self.heard_at = now
-        while self.sent and self.sent[0][0] <= report.taken_at:
-            self.sent.popleft()
+        self.received_at = now
+        while self.unreported and self.unreported[0][0] <= report.taken_at:
+            self.unreported.popleft()
 
     def on_sent(self, tokens: int, now: float) -> None:
         """Count a prompt that was sent."""
-        self.sent.append((now, tokens))
+        self.unreported.append((now, tokens))
         self.in_flight += 1
 
     def on_finished(self) -> None:
@@ -54,13 +54,13 @@
 
     def running(self) -> int:
         """Return the runs believed to be under way."""
-        return max(self.report.running + len(self.sent), self.in_flight)
+        return max(self.report.running + len(self.unreported), self.in_flight)
 
     def _sent_tokens(self, now: float, prefill_tokens_s: float) -> float:
         """Replay the prompts sent since the report through a queue that drains at full speed."""
         waiting = 0.0
         last = 0.0
-        for sent_at, tokens in self.sent:
+        for sent_at, tokens in self.unreported:
             waiting = max(0.0, waiting - (sent_at - last) * prefill_tokens_s) + tokens
             last = sent_at
         return max(0.0, waiting - (now - last) * prefill_tokens_s)
--- a/stairquay/core/membership.py
+++ b/stairquay/core/membership.py
@@ -9,7 +9,7 @@
 from stairquay.core.models import Box, BoxKind, BoxList, BoxState
 
 
-def _whole(box: Box) -> bool:
+def _is_valid(box: Box) -> bool:
     """Tell whether a row can be used: one bad row must not stop every process that reads the list."""
     return box.kind == BoxKind.STAIRQUAY or "http" in box.addresses
 
@@ -32,10 +32,10 @@
         """Take in a list unless it is older than the one held; tell whether it was newer."""
         if boxes.as_of <= self.boxes.as_of:
             return False
-        self.boxes = replace(boxes, boxes=tuple(filter(_whole, boxes.boxes)))
+        self.boxes = replace(boxes, boxes=tuple(filter(_is_valid, boxes.boxes)))
         by_id = self.boxes.by_id
         for box_id in list(self.departures_by_id):
-            self._settle(box_id, by_id.get(box_id))
+            self._drop_stale_departure(box_id, by_id.get(box_id))
         return True
 
     def on_leaving(self, box_id: str, incarnation: str) -> None:
@@ -57,7 +57,7 @@
             return None
         return box
 
-    def _settle(self, box_id: str, box: Box | None) -> None:
+    def _drop_stale_departure(self, box_id: str, box: Box | None) -> None:
         """Drop a departure once the list shows another life of the box, or no box."""
         departure = self.departures_by_id[box_id]
         if box is None or box.incarnation != departure.incarnation:
--- a/stairquay/router/service.py
+++ b/stairquay/router/service.py
@@ -239,7 +239,7 @@
                 status.loading = load.report.loading
                 status.queued_tokens = load.report.queued_tokens
                 status.running = load.report.running
-                status.age_s = now - load.heard_at
+                status.age_s = now - load.received_at
             found.append(status)
         return found
 
--- a/stairquay/router/state.py
+++ b/stairquay/router/state.py
@@ -140,7 +140,7 @@
 ) -> list[Candidate]:
     """Return the endpoints that a prompt may run on; silent or excluded ones where no other is left."""
     usable = [item.id for item in service.endpoints if state.view.membership.usable(item.id) is not None]
-    heard = [key for key in usable if now - state.load(key).heard_at <= SILENT_S]
+    heard = [key for key in usable if now - state.load(key).received_at <= SILENT_S]
     pool = heard or usable
     wanted = [key for key in pool if key not in excluded] or pool
     ids_by_version: dict[str, tuple[str, ...]] = {}
