--- a/stairquay/control/api.py
+++ b/stairquay/control/api.py
@@ -18,7 +18,7 @@
 from stairquay.core.decode import decode, encode
 from stairquay.core.errors import ErrorKind, Refusal
 from stairquay.core.mistake import Mistake
-from stairquay.core.plan import Change, Plan, Request, Running
+from stairquay.core.plan import Change, Plan, PlanRequest, RuntimeState
 
 BEARER = "Bearer "
 MAX_BODY_BYTES = 4_000_000
@@ -64,7 +64,7 @@
             value = msgspec.json.decode(await request.read())
         except msgspec.DecodeError as error:
             return _refused(Refusal(ErrorKind.BAD_REQUEST, detail=f"the body is not JSON: {error}"))
-        decoded = decode(value, Request)
+        decoded = decode(value, PlanRequest)
         if isinstance(decoded, Err):
             return _mistaken(decoded.err_value)
         outcome = await self.plans.propose(decoded.ok_value, await self._running())
@@ -106,10 +106,10 @@
         found = await gather_status(self.view, self.channels)
         return _reply({**encode(found), "behind": encode(found.behind)})
 
-    async def _running(self) -> Running:
+    async def _running(self) -> RuntimeState:
         found: SystemStatus = await gather_status(self.view, self.channels)
         versions = {item.id: item.version for item in found.endpoints}
-        return Running(versions, found.kept_bytes_by_version)
+        return RuntimeState(versions, found.kept_bytes_by_version)
 
     @web.middleware
     async def _authenticate(self, request: web.Request, handler: Handler) -> web.StreamResponse:
--- a/stairquay/control/plans.py
+++ b/stairquay/control/plans.py
@@ -21,7 +21,7 @@
 from stairquay.core.configuration import PREFIX, Configuration, merge
 from stairquay.core.errors import ErrorKind, ExecutionStatus, Refusal
 from stairquay.core.mistake import Mistake
-from stairquay.core.plan import PLAN_PREFIX, Basis, Plan, PlanState, Request, Running, make_plan
+from stairquay.core.plan import PLAN_PREFIX, Basis, Plan, PlanRequest, PlanState, RuntimeState, make_plan
 
 SETTLE_PAUSE_S = 0.1
 
@@ -56,7 +56,9 @@
         self.platform = platform
         self.settle_s = settle_s
 
-    async def propose(self, request: Request, running: Running) -> Result[Plan, Refusal | list[Mistake]]:
+    async def propose(
+        self, request: PlanRequest, running: RuntimeState
+    ) -> Result[Plan, Refusal | list[Mistake]]:
         """Make a plan on the table's own newest configuration and write it down."""
         read = await self.platform.changes(0, PREFIX)
         if isinstance(read, Err):
--- a/stairquay/core/plan.py
+++ b/stairquay/core/plan.py
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class Request:
+class PlanRequest:
     """The body of a POST to the intent API."""
 
     intents: tuple[Intent, ...]
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class WeightLoad:
     """A load of weights that the plan will cause."""
 
     endpoint: str
@@ -104,14 +104,14 @@
     revision: int
     changes: tuple[Change, ...]
     basis: tuple[Basis, ...]
-    loads: tuple[Load, ...] = ()
+    loads: tuple[WeightLoad, ...] = ()
     loads_s: float = 0.0
     lost_kept_bytes: int = 0
     warnings: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True)
-class Running:
+class RuntimeState:
     """What the planner knows of the endpoints: versions running and kept bytes by version."""
 
     versions_by_endpoint: Mapping[str, str] = field(default_factory=dict)
@@ -134,9 +134,9 @@
 
 
 def make_plan(
-    request: Request,
-    held: Configuration,
-    running: Running,
+    request: PlanRequest,
+    current: Configuration,
+    running: RuntimeState,
     plan_id: str,
     at: float,
     new_secret: Callable[[], str],
@@ -145,60 +145,60 @@
     mistakes: list[Mistake] = []
     changes: list[Change] = []
     for number, intent in enumerate(request.intents):
-        outcome = _change(intent, held, new_secret)
+        outcome = _plan_change(intent, current, new_secret)
         if isinstance(outcome, Err):
-            mistakes += [_under(number, mistake) for mistake in outcome.err_value]
+            mistakes += [_with_intent_path(number, mistake) for mistake in outcome.err_value]
         else:
             changes.append(outcome.ok_value)
     if not request.intents:
         mistakes.append(Mistake("$.intents", "expected at least one intent"))
     changes = [change for change in changes if change.before != change.after]
-    after = _apply(held, changes)
+    after = _apply(current, changes)
     if not mistakes:
-        mistakes = _check(after)
+        mistakes = _validate(after)
     if mistakes:
         return Err(mistakes)
-    loads = _loads(after, changes, running)
+    loads = _required_loads(after, changes, running)
     plan = Plan(
         id=plan_id,
         state=PlanState.PROPOSED,
         at=at,
-        revision=held.revision,
+        revision=current.revision,
         changes=tuple(changes),
-        basis=_basis(held, after, changes),
+        basis=_basis(current, after, changes),
         loads=tuple(loads),
-        loads_s=_loads_s(after, loads),
-        lost_kept_bytes=_lost_bytes(loads, running),
+        loads_s=_load_time_s(after, loads),
+        lost_kept_bytes=_lost_kept_bytes(loads, running),
         warnings=tuple(_warnings(changes, after)),
     )
     return Ok(plan)
 
 
-def _under(number: int, mistake: Mistake) -> Mistake:
+def _with_intent_path(number: int, mistake: Mistake) -> Mistake:
     return Mistake(f"$.intents[{number}]{mistake.path[1:]}", mistake.expected)
 
 
-def _change(
-    intent: Intent, held: Configuration, new_secret: Callable[[], str]
+def _plan_change(
+    intent: Intent, current: Configuration, new_secret: Callable[[], str]
 ) -> Result[Change, list[Mistake]]:
     if not intent.id:
         return Err([Mistake("$.id", "expected a name")])
     key = PREFIXES[intent.kind] + intent.id
-    row = held.rows_by_key.get(key)
+    row = current.rows_by_key.get(key)
     before = row.value if row is not None else None
     if intent.op == Operation.DELETE:
         if before is None:
             return Err([Mistake("$.id", f"there is no {intent.kind.value} {intent.id!r} to delete")])
         return Ok(Change(key, before, None))
     kind: type[Any] = TYPES[intent.kind]
-    decoded: Result[Any, list[Mistake]] = decode({**_identity(intent), **intent.value}, kind)
+    decoded: Result[Any, list[Mistake]] = decode({**_identity_fields(intent), **intent.value}, kind)
     if isinstance(decoded, Err):
         return Err([Mistake("$.value" + item.path[1:], item.expected) for item in decoded.err_value])
     value = _with_secret(decoded.ok_value, before, new_secret)
     return Ok(Change(key, before, msgspec.json.encode(value).decode()))
 
 
-def _identity(intent: Intent) -> dict[str, str]:
+def _identity_fields(intent: Intent) -> dict[str, str]:
     if intent.kind == ObjectKind.VERSION:
         service, _, version = intent.id.partition("/")
         return {"service": service, "id": version}
@@ -212,18 +212,18 @@
     if not isinstance(value, Workspace):
         return value
     if before is not None:
-        held = msgspec.json.decode(before, type=Workspace)
-        return replace(value, kept_secret=held.kept_secret)
+        current = msgspec.json.decode(before, type=Workspace)
+        return replace(value, kept_secret=current.kept_secret)
     return replace(value, kept_secret=new_secret())
 
 
-def _apply(held: Configuration, changes: list[Change]) -> Configuration:
-    revision = held.revision + 1
+def _apply(current: Configuration, changes: list[Change]) -> Configuration:
+    revision = current.revision + 1
     rows = tuple(Row(change.key, change.after, revision) for change in changes)
-    return merge(held, rows, revision)
+    return merge(current, rows, revision)
 
 
-def _check(after: Configuration) -> list[Mistake]:
+def _validate(after: Configuration) -> list[Mistake]:
     """Return what does not fit together in the configuration that the plan leads to."""
     found = []
     for placement in after.placements.values():
@@ -238,10 +238,10 @@
         if service not in after.services:
             path = f"$.{VERSION_PREFIX}{service}/{version}"
             found.append(Mistake(path, f"there is no service {service!r}"))
-    return found + _check_services(after) + _check_workspaces(after)
+    return found + _validate_services(after) + _validate_workspaces(after)
 
 
-def _check_services(after: Configuration) -> list[Mistake]:
+def _validate_services(after: Configuration) -> list[Mistake]:
     found = []
     owners: dict[str, str] = {}
     for service in after.services.values():
@@ -261,7 +261,7 @@
     return found
 
 
-def _check_workspaces(after: Configuration) -> list[Mistake]:
+def _validate_workspaces(after: Configuration) -> list[Mistake]:
     found = []
     owners: dict[str, str] = {}
     for workspace in after.workspaces.values():
@@ -277,15 +277,15 @@
     return found
 
 
-def _basis(held: Configuration, after: Configuration, changes: list[Change]) -> tuple[Basis, ...]:
+def _basis(current: Configuration, after: Configuration, changes: list[Change]) -> tuple[Basis, ...]:
     """Return the rows that the plan writes or was checked against."""
     keys = {change.key for change in changes}
     for change in changes:
-        keys |= _related(change.key, held, after)
-    return tuple(Basis(key, _revision(held, key)) for key in sorted(keys))
+        keys |= _related_keys(change.key, current, after)
+    return tuple(Basis(key, _revision(current, key)) for key in sorted(keys))
 
 
-def _related(key: str, held: Configuration, after: Configuration) -> set[str]:
+def _related_keys(key: str, current: Configuration, after: Configuration) -> set[str]:
     """Return the other rows that a change to `key` was checked against."""
     if key.startswith(PLACEMENT_PREFIX):
         service = key.removeprefix(PLACEMENT_PREFIX)
@@ -300,12 +300,12 @@
     return {SERVICE_PREFIX + name for name in workspace.services} if workspace else set()
 
 
-def _revision(held: Configuration, key: str) -> int:
-    row = held.rows_by_key.get(key)
+def _revision(current: Configuration, key: str) -> int:
+    row = current.rows_by_key.get(key)
     return row.revision if row is not None else 0
 
 
-def _loads(after: Configuration, changes: list[Change], running: Running) -> list[Load]:
+def _required_loads(after: Configuration, changes: list[Change], running: RuntimeState) -> list[WeightLoad]:
     touched = {change.key.rpartition("/")[2] for change in changes if change.after is not None}
     loads = []
     for service_id, placement in after.placements.items():
@@ -315,11 +315,11 @@
         for endpoint in service.endpoints:
             version = running.versions_by_endpoint.get(endpoint.id, "")
             if version != placement.version:
-                loads.append(Load(endpoint.id, version, placement.version))
+                loads.append(WeightLoad(endpoint.id, version, placement.version))
     return loads
 
 
-def _loads_s(after: Configuration, loads: list[Load]) -> float:
+def _load_time_s(after: Configuration, loads: list[WeightLoad]) -> float:
     total = 0.0
     for service_id, placement in after.placements.items():
         service = after.services.get(service_id)
@@ -331,7 +331,7 @@
     return total
 
 
-def _lost_bytes(loads: list[Load], running: Running) -> int:
+def _lost_kept_bytes(loads: list[WeightLoad], running: RuntimeState) -> int:
     versions = {load.before for load in loads if load.before}
     return sum(running.kept_bytes_by_version.get(version, 0) for version in versions)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -24,7 +24,7 @@
 from stairquay.cli import main
 from stairquay.core.configuration import Configuration
 from stairquay.core.decode import decode
-from stairquay.core.plan import Request, Running, make_plan
+from stairquay.core.plan import PlanRequest, RuntimeState, make_plan
 from stairquay.environment import Environment
 from stairquay.status import ExitStatus
 
@@ -59,8 +59,8 @@
 
 @pytest.mark.parametrize("path", INTENTS, ids=lambda path: path.parent.name)
 def test_example_intents_lead_to_a_plan(path):
-    request = decode({"intents": json5.loads(path.read_text())}, Request).unwrap()
-    plan = make_plan(request, Configuration(), Running(), "plan-1", 0.0, lambda: "secret").unwrap()
+    request = decode({"intents": json5.loads(path.read_text())}, PlanRequest).unwrap()
+    plan = make_plan(request, Configuration(), RuntimeState(), "plan-1", 0.0, lambda: "secret").unwrap()
     workspaces = [change for change in plan.changes if change.key.startswith("config/workspace/")]
     assert len(workspaces) == 10
     assert len(plan.loads) == 5
