--- a/stairquay/core/retry.py
+++ b/stairquay/core/retry.py
@@ -11,7 +11,7 @@
 BACKOFF_BASE_S = 0.02
 BACKOFF_CAP_S = 1.0
 
-EJECT_AFTER = 3
+EJECT_AFTER_FAILURES = 3
 """Failures in a row that eject an endpoint."""
 
 EJECT_BASE_S = 1.0
@@ -52,7 +52,7 @@
 
     failures: int = 0
     ejections: int = 0
-    out_until: float = 0.0
+    ejected_until: float = 0.0
 
 
 @dataclass
@@ -69,14 +69,14 @@
         """Count a failure; return True where it ejects the endpoint."""
         health = self.health_by_id.setdefault(endpoint, EndpointHealth())
         health.failures += 1
-        if health.failures < EJECT_AFTER or health.out_until > now:
+        if health.failures < EJECT_AFTER_FAILURES or health.ejected_until > now:
             return False
         if len(self.ejected(now)) + 1 > total * MAX_EJECTED_SHARE:
             return False
-        health.out_until = now + min(EJECT_CAP_S, EJECT_BASE_S * 2**health.ejections)
+        health.ejected_until = now + min(EJECT_CAP_S, EJECT_BASE_S * 2**health.ejections)
         health.ejections += 1
         return True
 
     def ejected(self, now: float) -> set[str]:
         """Return the endpoints that are out now."""
-        return {key for key, health in self.health_by_id.items() if health.out_until > now}
+        return {key for key, health in self.health_by_id.items() if health.ejected_until > now}
