--- a/stairquay/core/routing.py
+++ b/stairquay/core/routing.py
@@ -8,13 +8,13 @@
 from stairquay.core.models import EngineCosts
 from stairquay.core.residency import StoredBlock
 
-FULL_SCAN = 16
+FULL_SCAN_LIMIT = 16
 """Up to this many endpoints, all are compared."""
 
-SAMPLED = 8
+SAMPLE_SIZE = 8
 """Beyond it: every endpoint that holds part of the prompt, and this many others by chance."""
 
-TIE_SHARE = 0.02
+TIE_TOLERANCE = 0.02
 """Costs this close to the best are drawn by chance, so that many routers do not pick alike."""
 
 IMPORT_SETUP_S = 0.01
@@ -80,28 +80,28 @@
     demand: Demand, candidates: Sequence[Candidate], costs: EngineCosts, random: Random
 ) -> Decision | None:
     """Return the cheapest decision over all candidates and ways to bring context."""
-    scanned = _scan(candidates, random)
-    decisions = [best_way(demand, candidate, costs) for candidate in scanned]
+    scanned = _sample_candidates(candidates, random)
+    decisions = [cheapest_option(demand, candidate, costs) for candidate in scanned]
     if not decisions:
         return None
-    return _pick(decisions, random)
+    return _pick_cheapest(decisions, random)
 
 
-def best_way(demand: Demand, candidate: Candidate, costs: EngineCosts) -> Decision:
+def cheapest_option(demand: Demand, candidate: Candidate, costs: EngineCosts) -> Decision:
     """Return the cheapest way to run a prompt at one candidate.
 
     Time is piecewise linear in the number of blocks brought: bringing is free while the prompt
     would wait in the queue anyway, and has one slope after that. So the best number is at one of
     the bends: nothing, what fits into the wait, or all.
     """
-    ways = [_decide(demand, candidate, costs, None, ())]
+    options = [_predict(demand, candidate, costs, None, ())]
     for run in candidate.kept:
-        for count in _bends(candidate, run, costs):
-            ways.append(_decide(demand, candidate, costs, run, run.blocks[:count]))
-    return min(ways, key=lambda way: way.cost)
+        for count in _breakpoints(candidate, run, costs):
+            options.append(_predict(demand, candidate, costs, run, run.blocks[:count]))
+    return min(options, key=lambda option: option.cost)
 
 
-def import_s(run: StoredRun, blocks: int, costs: EngineCosts) -> float:
+def import_time_s(run: StoredRun, blocks: int, costs: EngineCosts) -> float:
     """Return seconds to bring a number of blocks, the link's queue included."""
     return run.link_wait_s + IMPORT_SETUP_S + blocks * block_bytes(costs) / run.link_bytes_s
 
@@ -111,14 +111,16 @@
     return BLOCK_TOKENS * costs.kv_bytes_token
 
 
-def _bends(candidate: Candidate, run: StoredRun, costs: EngineCosts) -> set[int]:
-    spare_s = _queue_s(candidate, costs) - run.link_wait_s - IMPORT_SETUP_S
-    fitting = int(max(0.0, spare_s) * run.link_bytes_s / block_bytes(costs))
+def _breakpoints(candidate: Candidate, run: StoredRun, costs: EngineCosts) -> set[int]:
+    spare_s = _queue_wait_s(candidate, costs) - run.link_wait_s - IMPORT_SETUP_S
+    overlapped_blocks = int(max(0.0, spare_s) * run.link_bytes_s / block_bytes(costs))
     # Blocks are whole: the bend may lie between what fits and one more.
-    return {min(count, len(run.blocks)) for count in (fitting, fitting + 1, len(run.blocks))} - {0}
+    return {
+        min(count, len(run.blocks)) for count in (overlapped_blocks, overlapped_blocks + 1, len(run.blocks))
+    } - {0}
 
 
-def _decide(
+def _predict(
     demand: Demand,
     candidate: Candidate,
     costs: EngineCosts,
@@ -127,8 +129,8 @@
 ) -> Decision:
     held = (candidate.resident_blocks + len(blocks)) * BLOCK_TOKENS
     missing = max(1, demand.tokens - held)
-    bring_s = 0.0 if run is None else import_s(run, len(blocks), costs)
-    start_s = max(_queue_s(candidate, costs), bring_s)
+    import_s = 0.0 if run is None else import_time_s(run, len(blocks), costs)
+    start_s = max(_queue_wait_s(candidate, costs), import_s)
     prefill_s = missing / costs.prefill_tokens_s
     first_token_s = start_s + prefill_s
     cost = demand.time_weight * first_token_s + (1 - demand.time_weight) * prefill_s
@@ -143,27 +145,27 @@
     )
 
 
-def _queue_s(candidate: Candidate, costs: EngineCosts) -> float:
+def _queue_wait_s(candidate: Candidate, costs: EngineCosts) -> float:
     waiting = candidate.queued_tokens / costs.prefill_tokens_s
     over = max(0, candidate.running + 1 - costs.slots)
-    return waiting + candidate.loading_s + over * costs.decode_step_s * DECODE_STEPS_SLOT
+    return waiting + candidate.loading_s + over * costs.decode_step_s * DECODE_STEPS_PER_EXTRA_RUN
 
 
-DECODE_STEPS_SLOT = 8
+DECODE_STEPS_PER_EXTRA_RUN = 8
 """Decode steps that a prompt is taken to wait for each run beyond an engine's slots."""
 
 
-def _scan(candidates: Sequence[Candidate], random: Random) -> Sequence[Candidate]:
-    if len(candidates) <= FULL_SCAN:
+def _sample_candidates(candidates: Sequence[Candidate], random: Random) -> Sequence[Candidate]:
+    if len(candidates) <= FULL_SCAN_LIMIT:
         return candidates
     holders = [item for item in candidates if item.resident_blocks]
     others = [item for item in candidates if not item.resident_blocks]
-    return holders + random.sample(others, min(SAMPLED, len(others)))
+    return holders + random.sample(others, min(SAMPLE_SIZE, len(others)))
 
 
-def _pick(decisions: list[Decision], random: Random) -> Decision:
+def _pick_cheapest(decisions: list[Decision], random: Random) -> Decision:
     best = min(decision.cost for decision in decisions)
-    ties = [item for item in decisions if item.cost <= best * (1 + TIE_SHARE)]
+    ties = [item for item in decisions if item.cost <= best * (1 + TIE_TOLERANCE)]
     return random.choice(ties)
 
 
@@ -179,7 +181,7 @@
             return None
         turn += 1
         ordered = sorted(candidates, key=lambda item: item.endpoint)
-        return _decide(demand, ordered[turn % len(ordered)], costs, None, ())
+        return _predict(demand, ordered[turn % len(ordered)], costs, None, ())
 
     return policy
 
@@ -191,7 +193,7 @@
     if not candidates:
         return None
     best = min(candidates, key=lambda item: (item.queued_tokens, item.running, random.random()))
-    return _decide(demand, best, costs, None, ())
+    return _predict(demand, best, costs, None, ())
 
 
 def prefix_affinity(
@@ -201,7 +203,7 @@
     if not candidates:
         return None
     best = max(candidates, key=lambda item: (item.resident_blocks, -item.queued_tokens, random.random()))
-    return _decide(demand, best, costs, None, ())
+    return _predict(demand, best, costs, None, ())
 
 
 POLICIES: dict[str, Callable[[], Policy]] = {
