--- a/stairquay/core/decode.py
+++ b/stairquay/core/decode.py
@@ -19,7 +19,9 @@
     try:
         return Ok(_CONVERTER.structure(value, kind))
     except (ClassValidationError, IterableValidationError) as error:
-        return Err([_mistake(line) for line in transform_error(error, format_exception=_explain)])
+        return Err(
+            [_parse_mistake(line) for line in transform_error(error, format_exception=_describe_error)]
+        )
 
 
 def encode(value: object) -> Any:
@@ -27,12 +29,12 @@
     return _CONVERTER.unstructure(value)
 
 
-def _mistake(line: str) -> Mistake:
+def _parse_mistake(line: str) -> Mistake:
     expected, _, path = line.rpartition(" @ ")
     return Mistake(path, expected)
 
 
-def _explain(error: BaseException, kind: type | None) -> str:
+def _describe_error(error: BaseException, kind: type | None) -> str:
     if isinstance(error, KeyError):
         return "required, but missing"
     if isinstance(error, ForbiddenExtraKeysError):
@@ -40,17 +42,17 @@
     return str(error)
 
 
-def _strict(kind: type, accepted: tuple[type, ...], name: str) -> Callable[[Any, Any], Any]:
+def _strict_hook(kind: type, accepted: tuple[type, ...], name: str) -> Callable[[Any, Any], Any]:
     def structure(value: Any, _: Any) -> Any:
-        wrong_bool = isinstance(value, bool) and kind is not bool
-        if wrong_bool or not isinstance(value, accepted):
+        unexpected_bool = isinstance(value, bool) and kind is not bool
+        if unexpected_bool or not isinstance(value, accepted):
             raise ValueError(f"expected {name}, not {value!r}")
         return kind(value)
 
     return structure
 
 
-def _list_only(kind: Any) -> Callable[[Any, Any], Any]:
+def _tuple_hook(kind: Any) -> Callable[[Any, Any], Any]:
     item = kind.__args__[0]
 
     def structure(value: Any, _: Any) -> Any:
@@ -67,11 +69,11 @@
 
 def _make_converter() -> Converter:
     converter = Converter(forbid_extra_keys=True)
-    converter.register_structure_hook(str, _strict(str, (str,), "a string"))
-    converter.register_structure_hook(int, _strict(int, (int,), "a whole number"))
-    converter.register_structure_hook(float, _strict(float, (int, float), "a number"))
-    converter.register_structure_hook(bool, _strict(bool, (bool,), "true or false"))
-    converter.register_structure_hook_factory(_is_tuple, _list_only)
+    converter.register_structure_hook(str, _strict_hook(str, (str,), "a string"))
+    converter.register_structure_hook(int, _strict_hook(int, (int,), "a whole number"))
+    converter.register_structure_hook(float, _strict_hook(float, (int, float), "a number"))
+    converter.register_structure_hook(bool, _strict_hook(bool, (bool,), "true or false"))
+    converter.register_structure_hook_factory(_is_tuple, _tuple_hook)
     return converter
 
 
