--- a/stairquay/core/__init__.py
+++ b/stairquay/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the system: no input or output, no clock and no randomness of their own."""
+"""Decision logic without I/O: callers pass in the time and the random numbers."""
--- a/stairquay/core/admission.py
+++ b/stairquay/core/admission.py
@@ -1,8 +1,7 @@
-"""Limits of a workspace, and fair sharing of a service's capacity among workspaces.
+"""Admission control: limits per workspace, and fair queueing for a service's slots.
 
-Waiting requests are taken by start-time fair queueing: each workspace's requests get tags that
-advance by 1/weight, and the smallest tag goes next. A request whose predicted wait is too long is
-refused at once, with the seconds after which coming back helps.
+Start-time fair queueing gives each workspace's requests tags that advance by 1/weight; the smallest
+tag is served next. A request whose predicted wait is too long is refused with a retry delay.
 """
 
 import heapq
@@ -13,19 +12,18 @@
 from stairquay.core.models import Workspace
 
 SERVICE_TIME_GAIN = 0.1
-"""Weight of the newest observation in the mean time that a request holds its slot."""
-
+"""Weight of the newest sample in the moving averages of slot times."""
 
 NEW_CONVERSATION_WAIT_SHARE = 0.5
-"""Share of the longest wait that a new conversation may be predicted to have."""
+"""Share of `max_wait_s` that a new conversation may be predicted to wait."""
 
 MAX_IDLE_TAGS = 16
-"""Tags of idle workspaces that are kept before any is looked for to drop."""
+"""Idle workspaces whose tags may stay before stale tags are dropped."""
 
 
 @dataclass
 class TokenBucket:
-    """Requests a second with a burst; `level` is what is left at `at` (monotonic seconds)."""
+    """Token bucket of `rate_s` tokens per second; `level` is the balance at `at` (monotonic seconds)."""
 
     rate_s: float
     burst: float
@@ -33,7 +31,7 @@
     at: float
 
     def take(self, now: float) -> float:
-        """Take one; return 0 if it was there, else seconds until it will be."""
+        """Take one token and return 0, or return the seconds until one is available."""
         self.level = min(self.burst, self.level + (now - self.at) * self.rate_s)
         self.at = now
         if self.level >= 1.0:
@@ -42,7 +40,7 @@
         return (1.0 - self.level) / self.rate_s
 
     def overdraw(self, amount: float, now: float) -> bool:
-        """Take any amount unless the bucket is in debt; one large amount may put it there."""
+        """Take any amount if the balance is positive, which may make it negative; else return False."""
         self.level = min(self.burst, self.level + (now - self.at) * self.rate_s)
         self.at = now
         if self.level <= 0.0:
@@ -53,13 +51,13 @@
 
 @dataclass
 class WorkspaceLimits:
-    """Rate and requests in flight by workspace, each scaled to this box's share of all boxes."""
+    """Request rates and requests in flight by workspace, scaled to this box's share of all boxes."""
 
     buckets_by_id: dict[str, TokenBucket] = field(default_factory=dict)
     in_flight: Counter[str] = field(default_factory=Counter)
 
     def admit(self, workspace: Workspace, share: float, now: float) -> Refusal | None:
-        """Count a request in, or return why not. `share` is 1 over the number of live boxes."""
+        """Admit a request, or return why it is refused. `share` is 1 over the number of live boxes."""
         allowed = max(1, int(workspace.max_in_flight * share))
         if self.in_flight[workspace.id] >= allowed:
             return Refusal(ErrorKind.RATE_LIMITED, detail=f"{allowed} requests are in flight")
@@ -70,7 +68,7 @@
         return None
 
     def release(self, workspace_id: str) -> None:
-        """Count a request out."""
+        """Release a request that was admitted."""
         self.in_flight[workspace_id] -= 1
         if self.in_flight[workspace_id] <= 0:
             del self.in_flight[workspace_id]
@@ -100,8 +98,8 @@
 class FairQueue:
     """Slots of one service on this box, and the requests that wait for them.
 
-    A request holds a starting slot until its first byte, and a slot until its end. `mean_start_s` and
-    `mean_s` are the mean times that these are held.
+    A request holds a starting slot until its first byte, and a slot until its end.
+    mean_slot_s, mean_starting_slot_s: moving averages of the times that these are held
     """
 
     slots: int
@@ -122,8 +120,8 @@
     def offer(self, workspace: Workspace, returning: bool = True) -> Ticket | Refusal:
         """Queue a request, or refuse it if its predicted wait is too long.
 
-        Under pressure new conversations are refused first: a slot given to one that returns costs
-        little computing, and one that was refused in between would come back to be computed whole.
+        New conversations are refused first: a returning one reuses cached context, which may be evicted
+        before it retries.
         """
         self.weights[workspace.id] = workspace.weight
         limit_s = self.max_wait_s if returning else self.max_wait_s * NEW_CONVERSATION_WAIT_SHARE
@@ -138,7 +136,7 @@
         return ticket
 
     def grant(self) -> Ticket | None:
-        """Take the next request if a slot and a starting slot are free."""
+        """Dequeue the next request if a slot and a starting slot are free."""
         while self.heap and self.running < self.slots and self.starting < self.starting_slots:
             ticket = heapq.heappop(self.heap)
             if ticket.number in self.withdrawn:
@@ -153,31 +151,31 @@
         return None
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Take a waiting request out of the queue."""
+        """Remove a waiting request from the queue."""
         self.withdrawn.add(ticket.number)
         self._remove_waiting(ticket.workspace)
 
     def backlogged(self, workspace_id: str) -> bool:
-        """Tell whether a workspace has more waiting: it has its share, or more would be out of turn."""
+        """Tell whether a workspace has requests waiting."""
         return self.waiting[workspace_id] > 0
 
     def release_starting_slot(self, held_s: float) -> None:
-        """Free a starting slot that was held for some seconds."""
+        """Release a starting slot after `held_s` seconds."""
         self.starting -= 1
         self.mean_starting_slot_s += SERVICE_TIME_GAIN * (held_s - self.mean_starting_slot_s)
 
     def release(self, held_s: float) -> None:
-        """Free a slot that was held for some seconds; its starting slot is free already."""
+        """Release a slot after `held_s` seconds, once its starting slot has been released."""
         self.running -= 1
         self.mean_slot_s += SERVICE_TIME_GAIN * (held_s - self.mean_slot_s)
 
     def overload_refusal(self, workspace: Workspace, limit_s: float) -> Refusal:
-        """Return the refusal of a request that would wait too long, with when to come back."""
+        """Return the refusal, with its retry delay, of a request whose predicted wait exceeds `limit_s`."""
         over_s = self.predicted_wait_s(workspace) - limit_s
         return Refusal(ErrorKind.OVERLOADED, retry_after_s=max(0.0, over_s) + self.mean_slot_s)
 
     def predicted_wait_s(self, workspace: Workspace) -> float:
-        """Return seconds that a new request of a workspace would wait for its slot."""
+        """Return the seconds that a new request of a workspace would wait for a slot."""
         taken = sum(self.waiting.values())
         if self.running + taken < self.slots and self.starting + taken < self.starting_slots:
             return 0.0
@@ -196,7 +194,7 @@
             del self.waiting[workspace_id]
 
     def _drop_idle_tags(self) -> None:
-        """Drop tags that lie behind the queue's own, once they outnumber those that wait."""
+        """Drop tags of idle workspaces that lie behind the virtual time, once there are many."""
         if len(self.finish_tags) <= 2 * len(self.waiting) + MAX_IDLE_TAGS:
             return
         stale = [key for key, tag in self.finish_tags.items() if tag <= self.virtual_time]
--- a/stairquay/core/configuration.py
+++ b/stairquay/core/configuration.py
@@ -1,6 +1,6 @@
-"""The configuration as rows with revisions, and the typed snapshot derived from them.
+"""Configuration rows with revisions, and the typed objects decoded from them.
 
-Rows merge by the higher revision, so that no order of arrival can make a row go back.
+Of two versions of a row, merging keeps the one with the higher revision, whatever their order of arrival.
 """
 
 from dataclasses import dataclass, field
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """All configuration rows, complete up to `revision`."""
+    """All configuration rows up to `revision`, deleted ones included."""
 
     revision: int = 0
     rows_by_key: dict[str, Row] = field(default_factory=dict)
@@ -74,7 +74,7 @@
 
     @cached_property
     def unreadable_keys(self) -> tuple[str, ...]:
-        """Return the keys of rows that cannot be read; the others are in force without them."""
+        """Return the keys of rows that cannot be decoded and are ignored."""
         bad = []
         for prefix, kind in TYPES_BY_PREFIX.items():
             for key, value in self._values(prefix):
@@ -101,7 +101,7 @@
 def merge(current: Configuration, rows: tuple[Row, ...], revision: int) -> Configuration:
     """Return the configuration after a delta that is complete up to `revision`.
 
-    A delta at or below the held revision changes nothing, whoever offers it.
+    A delta that is no newer than the current revision changes nothing.
     """
     if revision <= current.revision:
         return current
--- a/stairquay/core/decode.py
+++ b/stairquay/core/decode.py
@@ -1,4 +1,4 @@
-"""Strict decoding of JSON objects into data classes, with every mistake listed at once."""
+"""Strict decoding of JSON objects into data classes; reports all mistakes at once."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, TypeVar, get_origin
@@ -13,7 +13,7 @@
 
 
 def decode(value: object, kind: type[T]) -> Result[T, list[Mistake]]:
-    """Return `value` as a `kind`, or all the mistakes in it."""
+    """Decode `value` into a `kind`, or return all mistakes in it."""
     if not isinstance(value, Mapping):
         return Err([Mistake("$", "expected an object")])
     try:
@@ -25,7 +25,7 @@
 
 
 def encode(value: object) -> Any:
-    """Return a data class as plain JSON types."""
+    """Encode a data class as JSON types."""
     return _CONVERTER.unstructure(value)
 
 
--- a/stairquay/core/errors.py
+++ b/stairquay/core/errors.py
@@ -1,11 +1,11 @@
-"""The closed list of error kinds, and the table from kind to the caller's answer."""
+"""Error kinds, and the error response that the caller gets for each."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class ExecutionStatus(str, Enum):
-    """What a refusal says about whether the request ran on an endpoint."""
+    """Whether a request ran on an endpoint."""
 
     NOT_RUN = "not run"
     RAN = "ran"
@@ -13,7 +13,7 @@
 
 
 class ErrorKind(str, Enum):
-    """Every way in which a request can be refused."""
+    """Reasons for refusing a request."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class ErrorResponse:
-    """How one error kind is answered: HTTP status, OpenAI error type, and whether coming back helps."""
+    """HTTP status, OpenAI error type, message, and whether a retry can succeed."""
 
     status: int
     type: str
@@ -120,10 +120,10 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """A final answer to a request that was given up on.
+    """Final error of a request.
 
-    `retry_after_s` is seconds until coming back helps; None where the table says it does not.
-    `detail` is a sentence for a person and never holds prompt text.
+    retry_after_s: seconds until a retry can succeed; None for the default, unused for permanent errors
+    detail: human-readable, never contains prompt text
     """
 
     kind: ErrorKind
@@ -133,19 +133,19 @@
 
     @property
     def response(self) -> ErrorResponse:
-        """Return the table's row for this kind."""
+        """Return the error response of this kind."""
         return ERROR_RESPONSES[self.kind]
 
     @property
     def message(self) -> str:
-        """Return one line for a person."""
+        """Return a one-line, human-readable message."""
         if not self.detail:
             return self.response.text
         return f"{self.response.text}: {self.detail}"
 
     @property
     def effective_retry_after_s(self) -> float | None:
-        """Return seconds until a retry helps, or None where it does not."""
+        """Return the seconds until a retry can succeed, or None where it cannot."""
         if not self.response.retry:
             return None
         if self.retry_after_s is None:
--- a/stairquay/core/freshness.py
+++ b/stairquay/core/freshness.py
@@ -1,9 +1,8 @@
-"""Whether a process may trust its view of configuration and boxes.
+"""Freshness of a process's view of the configuration and the boxes.
 
-A view is fresh while the platform answers. While it does not, a router's view stays fresh as long as
-the router is in touch with more than half of all routers, itself included: nobody can have changed
-the configuration without one of them hearing of it. A router that reaches neither is cut off; others
-may go on without it, so its box takes no new requests until it is back.
+A view is fresh while the platform answers. During a platform outage, a router's view stays fresh while
+it reaches a majority of all routers, itself included, since one of them sees every configuration change.
+A router that reaches neither is partitioned, and its box takes no new requests.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +10,7 @@
 
 
 class Reach(str, Enum):
-    """Whom a process reached within its limit."""
+    """What a process has reached within the time limit."""
 
     PLATFORM = "platform"
     PEERS = "peers"
@@ -20,9 +19,11 @@
 
 @dataclass
 class Freshness:
-    """Monotonic times of the last answers of the platform and of each peer.
+    """Monotonic times of the last responses of the platform and of each peer.
 
-    `peers_needed` answers of different peers within `limit_s` stand in for the platform's.
+    limit_s: age in seconds up to which a response counts
+    required_peers: peers whose responses stand in for the platform's
+    loaded: whether a configuration has been received
     """
 
     limit_s: float
@@ -32,17 +33,17 @@
     peers_at: dict[str, float] = field(default_factory=dict)
 
     def on_platform(self, now: float) -> None:
-        """Count an answer of the platform."""
+        """Record a response of the platform."""
         self.loaded = True
         self.platform_at = now
 
     def on_peer(self, peer: str, now: float, loaded: bool) -> None:
-        """Count an answer of a peer, and whether it had a configuration to give."""
+        """Record a response of a peer; `loaded` tells whether the peer has a configuration."""
         self.loaded = self.loaded or loaded
         self.peers_at[peer] = now
 
     def reach(self, now: float) -> Reach:
-        """Return whom this process reached within the limit."""
+        """Return what this process has reached within `limit_s`."""
         if now - self.platform_at <= self.limit_s:
             return Reach.PLATFORM
         self._drop_silent_peers(now)
@@ -61,5 +62,5 @@
 
 
 def peers_for_majority(routers: int) -> int:
-    """Return how many other routers make more than half of all, together with oneself."""
+    """Return how many peers make a majority of `routers` together with this router."""
     return routers // 2
--- a/stairquay/core/identity.py
+++ b/stairquay/core/identity.py
@@ -1,8 +1,8 @@
-"""Identities of kept context: keyed hash chains that set workspaces and weight versions apart.
+"""Identities of prompt blocks: keyed hash chains, separate for each workspace and weight version.
 
-A prompt is cut into blocks of `BLOCK_TOKENS` tokens. Each block's digest covers the digests before
-it, so that equal digests mean equal prefixes. The key is the workspace's secret: equal prompts of
-two workspaces never meet, and nobody without the secret can guess an identity.
+A prompt is split into blocks of `BLOCK_TOKENS` tokens. Each block's digest covers the whole prefix up
+to its end. The hash is keyed with the workspace's secret, so that workspaces share no cached blocks
+and block ids cannot be guessed.
 """
 
 import hashlib
@@ -11,17 +11,17 @@
 
 BLOCK_TOKENS = 256
 BYTES_PER_TOKEN = 4
-"""Bytes of prompt text taken for one token where no tokenizer is at hand."""
+"""Estimate, used where no tokenizer is available."""
 
 DIGEST_BYTES = 16
 
 
 @dataclass(frozen=True)
 class Prompt:
-    """What routing knows of a prompt, with none of its text.
+    """Identity and size of a prompt, without its text.
 
-    family: names the conversation; the owner of the prompt is derived from it
-    chain: digest of each whole block, first to last, before the weight version is mixed in
+    family: hash that identifies the conversation and selects the owning router
+    chain: digest of each whole block in order, independent of the weight version
     tokens: estimated tokens of the whole prompt
     """
 
@@ -31,7 +31,7 @@
 
 
 def workspace_key(secret: str, workspace: str, service: str) -> bytes:
-    """Return the hash key of a workspace at a service."""
+    """Derive the hash key of a workspace for a service."""
     text = f"{workspace}\0{service}".encode()
     return hmac.new(secret.encode(), text, hashlib.sha256).digest()
 
@@ -48,7 +48,7 @@
 
 
 def identify_prompt(key: bytes, opening: bytes, text: bytes) -> Prompt:
-    """Return the prompt's identity; `opening` is the part that a conversation never changes."""
+    """Return the prompt's identity; `opening` is the part that stays the same through a conversation."""
     family = hashlib.blake2b(opening, key=key, digest_size=DIGEST_BYTES).digest()
     return Prompt(family, digest_chain(key, text), count_tokens(text))
 
@@ -59,6 +59,6 @@
 
 
 def block_ids(chain: tuple[bytes, ...], version: str) -> tuple[str, ...]:
-    """Return the identities of a chain's blocks under a weight version, in hex."""
+    """Return the ids, in hex, of a chain's blocks under a weight version."""
     key = version.encode()[: hashlib.blake2b.MAX_KEY_SIZE]
     return tuple(hashlib.blake2b(digest, key=key, digest_size=DIGEST_BYTES).hexdigest() for digest in chain)
--- a/stairquay/core/lease.py
+++ b/stairquay/core/lease.py
@@ -1,20 +1,22 @@
-"""Leases kept in the table service, and the fencing tokens that orders carry.
+"""Leases in the table service, and the fencing tokens that orders carry.
 
-The holder stops by its own monotonic clock well before a rival may take over, and a rival waits
-out the whole lease by its own clock from the moment it first saw the row unchanged.
+The holder stops before the lease ends by its own monotonic clock. Another process takes over only after
+it has seen the row unchanged for the whole duration of the lease by its own clock.
 """
 
 from dataclasses import dataclass
 
 HOLDER_SHARE = 0.6
-"""Share of the lease in which the holder may act; the rest covers pauses and orders on their way."""
+"""Share of the lease in which the holder may act; the rest covers process pauses and orders in transit."""
 
 
 @dataclass(frozen=True)
 class LeaseRow:
-    """The row in the table: who holds the lease, under which fencing token, for how long.
+    """The lease as stored in the table.
 
-    `token` grows by one with every change of holder. `renewal` grows with every write.
+    token: fencing token, incremented with every change of holder
+    duration_s: seconds from the last write
+    renewal: incremented with every write
     """
 
     holder: str
@@ -25,7 +27,7 @@
 
 @dataclass(frozen=True)
 class HeldLease:
-    """A lease as its holder knows it: `sent_at` is the monotonic time before the write was sent."""
+    """The holder's view of its lease; `sent_at` is the monotonic time just before the write was sent."""
 
     row: LeaseRow
     revision: int
@@ -38,26 +40,26 @@
 
 @dataclass(frozen=True)
 class ObservedLease:
-    """A rival's view: the row's revision and the monotonic time it was first seen."""
+    """Another process's view; `first_seen` is its monotonic time at the first read of this revision."""
 
     row: LeaseRow
     revision: int
     first_seen: float
 
     def expired(self, now: float) -> bool:
-        """Tell whether the holder must have stopped by now."""
+        """Tell whether the lease has ended, so that the holder must have stopped."""
         return now >= self.first_seen + self.row.duration_s
 
 
 def observe(previous: ObservedLease | None, row: LeaseRow, revision: int, now: float) -> ObservedLease:
-    """Return the rival's view after a read; an unchanged row keeps its first sight."""
+    """Return the view after a read of the row; an unchanged revision keeps its `first_seen`."""
     if previous is not None and previous.revision == revision:
         return previous
     return ObservedLease(row, revision, now)
 
 
 def next_lease_row(current: LeaseRow | None, holder: str, duration_s: float) -> LeaseRow:
-    """Return the row with which `holder` takes or renews the lease."""
+    """Return the row by which `holder` acquires or renews the lease."""
     if current is None:
         return LeaseRow(holder, 1, duration_s)
     if current.holder == holder:
--- a/stairquay/core/load.py
+++ b/stairquay/core/load.py
@@ -1,4 +1,4 @@
-"""Load of endpoints: lagging reports, corrected by what this router has sent since."""
+"""Estimated load of endpoints: their last reports, plus the prompts that this router has sent since."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What an engine said of itself. `taken_at` is this process's monotonic time, lag taken off."""
+    """An engine's report on itself; `taken_at` is local monotonic time, corrected for the report's delay."""
 
     taken_at: float = 0.0
     queued_tokens: int = 0
@@ -20,7 +20,11 @@
 
 @dataclass
 class EndpointLoad:
-    """The last report, and the prompts sent since as (sent at, tokens to prefill)."""
+    """The last report of an endpoint, and the prompts sent since.
+
+    unreported: prompts as (time sent, tokens to prefill)
+    in_flight: runs sent by this router that have not ended
+    """
 
     report: LoadReport = field(default_factory=LoadReport)
     unreported: deque[tuple[float, int]] = field(default_factory=deque)
@@ -28,36 +32,36 @@
     received_at: float = 0.0
 
     def on_report(self, report: LoadReport, now: float) -> None:
-        """Take in a report, and drop the prompts that it already counts."""
+        """Store a report, and drop the prompts that it already counts."""
         self.report = report
         self.received_at = now
         while self.unreported and self.unreported[0][0] <= report.taken_at:
             self.unreported.popleft()
 
     def on_sent(self, tokens: int, now: float) -> None:
-        """Count a prompt that was sent."""
+        """Record a prompt that was sent."""
         self.unreported.append((now, tokens))
         self.in_flight += 1
 
     def on_finished(self) -> None:
-        """Count a run that ended."""
+        """Record the end of a run."""
         self.in_flight = max(0, self.in_flight - 1)
 
     def queued_tokens(self, now: float, prefill_tokens_s: float) -> float:
-        """Return the tokens believed to wait before a new prompt.
+        """Return the estimated tokens queued ahead of a new prompt.
 
-        What was reported drains at the engine's speed from the time of the report on.
+        The reported queue is assumed to drain at `prefill_tokens_s` since the report.
         """
         drained = max(0.0, now - self.report.taken_at) * prefill_tokens_s
         reported = max(0.0, self.report.queued_tokens - drained)
         return reported + self._sent_tokens(now, prefill_tokens_s)
 
     def running(self) -> int:
-        """Return the runs believed to be under way."""
+        """Return the estimated number of active runs."""
         return max(self.report.running + len(self.unreported), self.in_flight)
 
     def _sent_tokens(self, now: float, prefill_tokens_s: float) -> float:
-        """Replay the prompts sent since the report through a queue that drains at full speed."""
+        """Return the tokens left of the unreported prompts, in a queue that drains at `prefill_tokens_s`."""
         waiting = 0.0
         last = 0.0
         for sent_at, tokens in self.unreported:
--- a/stairquay/core/membership.py
+++ b/stairquay/core/membership.py
@@ -1,7 +1,7 @@
-"""Which endpoints may get new work: the platform's lagging list, corrected by endpoints' own words.
+"""Which boxes may get new work: the platform's list, corrected by endpoints' own departure notices.
 
-Whoever says that an endpoint is leaving is believed at once. It counts as back only under another
-incarnation, or where it was never said to leave.
+The list may lag behind. A departure notice takes effect at once and holds for its incarnation; the
+endpoint is usable again only under another incarnation.
 """
 
 from dataclasses import dataclass, field, replace
@@ -10,26 +10,26 @@
 
 
 def _is_valid(box: Box) -> bool:
-    """Tell whether a row can be used: one bad row must not stop every process that reads the list."""
+    """Tell whether a row is usable; other rows are dropped so that one bad row does not stop its readers."""
     return box.kind == BoxKind.STAIRQUAY or "http" in box.addresses
 
 
 @dataclass(frozen=True)
 class Departure:
-    """An endpoint's word that it is leaving, for one incarnation."""
+    """An endpoint's notice that one of its incarnations is leaving."""
 
     incarnation: str
 
 
 @dataclass
 class Membership:
-    """The newest list seen, and departures heard from endpoints themselves, by box id."""
+    """The newest list of boxes, and the departure notices by box id."""
 
     boxes: BoxList = field(default_factory=BoxList)
     departures_by_id: dict[str, Departure] = field(default_factory=dict)
 
     def on_list(self, boxes: BoxList) -> bool:
-        """Take in a list unless it is older than the one held; tell whether it was newer."""
+        """Replace the list if this one is newer; return whether it was."""
         if boxes.as_of <= self.boxes.as_of:
             return False
         self.boxes = replace(boxes, boxes=tuple(filter(_is_valid, boxes.boxes)))
@@ -39,11 +39,11 @@
         return True
 
     def on_leaving(self, box_id: str, incarnation: str) -> None:
-        """Take in an endpoint's own word that it is leaving."""
+        """Record an endpoint's departure notice."""
         self.departures_by_id[box_id] = Departure(incarnation)
 
     def on_alive(self, box_id: str, incarnation: str) -> None:
-        """Take in an endpoint's own word that it serves, under an incarnation."""
+        """Record that an endpoint serves; a departure of another incarnation is dropped."""
         departure = self.departures_by_id.get(box_id)
         if departure is not None and departure.incarnation != incarnation:
             del self.departures_by_id[box_id]
@@ -58,7 +58,7 @@
         return box
 
     def _drop_stale_departure(self, box_id: str, box: Box | None) -> None:
-        """Drop a departure once the list shows another life of the box, or no box."""
+        """Drop a departure once the list has another incarnation of the box, or no such box."""
         departure = self.departures_by_id[box_id]
         if box is None or box.incarnation != departure.incarnation:
             del self.departures_by_id[box_id]
--- a/stairquay/core/mistake.py
+++ b/stairquay/core/mistake.py
@@ -1,11 +1,11 @@
-"""What is wrong with a file or a message, for the one who wrote it."""
+"""Validation errors in files and messages."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Mistake:
-    """One mistake: the path of the key (`$.entry.listen`), and what was expected there."""
+    """One validation error: the path of the key, such as `$.entry.listen`, and what was expected there."""
 
     path: str
     expected: str
--- a/stairquay/core/models.py
+++ b/stairquay/core/models.py
@@ -1,4 +1,4 @@
-"""Frozen data classes shared by all programs: configuration objects and the list of boxes."""
+"""Data classes shared by all programs: configuration objects and the list of boxes."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -6,7 +6,7 @@
 
 
 class ServiceKind(str, Enum):
-    """What stands behind a service."""
+    """Kind of a service's endpoints: inference engines, or plain HTTP servers."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -14,9 +14,10 @@
 
 @dataclass(frozen=True)
 class EndpointSpec:
-    """One endpoint of a service, by its id in the platform's list of boxes.
+    """One endpoint of a service.
 
-    `checks_orders` tells whether the endpoint refuses orders that carry an old fencing token.
+    id: its id in the platform's list of boxes
+    checks_orders: whether the endpoint rejects orders with an outdated fencing token
     """
 
     id: str
@@ -25,16 +26,16 @@
 
 @dataclass(frozen=True)
 class EngineCosts:
-    """What a service's engines cost, for predictions.
-
-    prefill_tokens_s: prompt tokens one engine prefills in a second
-    decode_step_s: seconds between two tokens of a run
-    kv_bytes_token: bytes of kept context per token
-    link_bytes_s: bytes a second between an engine and a store box
-    load_s: seconds to load new weights
-    slots: runs that one engine takes at once
-    starting_slots: runs that one engine is given before their first token; more would only wait there,
-        out of reach of fair sharing
+    """Speeds and capacities of a service's engines, for predictions.
+
+    prefill_tokens_s: prompt tokens prefilled per second by one engine
+    decode_step_s: seconds per output token of a run
+    kv_bytes_token: bytes of cached context per token
+    link_bytes_s: bytes per second between an engine and a store box
+    load_s: seconds to load weights
+    slots: concurrent runs of one engine
+    starting_slots: concurrent runs of one engine before their first token; more would queue in the engine,
+        outside the fair queue
     """
 
     prefill_tokens_s: float = 10_000.0
@@ -48,10 +49,11 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A service that callers reach: model engines by name, or plain ones by path prefix.
+    """A service: engines that callers address by model name, or plain endpoints by path prefix.
 
-    `time_weight` runs from 0 (only recomputed tokens count) to 1 (only first-token time counts).
-    `stores` names the store boxes that keep context for it.
+    stores: ids of the store boxes that cache context for it
+    time_weight: weight in routing, from 0 (recomputed tokens only) to 1 (time to first token only)
+    timeout_s: seconds that a request may take
     """
 
     id: str
@@ -67,10 +69,13 @@
 
 @dataclass(frozen=True)
 class Workspace:
-    """A customer: hashed keys, its share, its limits and the secret that sets its context apart.
+    """A customer's tenant, with its API keys and limits.
 
-    `key_hashes` are SHA-256 in hex. `rate_s` is requests a second over the whole system.
-    `services` names what it may call; empty means all.
+    key_hashes: SHA-256 of its keys, in hex
+    weight: share in fair queueing
+    rate_s, burst: requests per second, and burst size, over the whole system
+    services: ids of the services that it may call; empty for all
+    kept_secret: key of its block ids, which separates its cached context from that of others
     """
 
     id: str
@@ -86,7 +91,7 @@
 
 @dataclass(frozen=True)
 class ModelVersion:
-    """One version of a service's weights, with the adapters that load beside it."""
+    """One version of a service's weights, with its adapters."""
 
     service: str
     id: str
@@ -96,7 +101,7 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """The version that a service's endpoints are to run, and how many may load at once."""
+    """The version that a service's endpoints should run, and how many of them may load it at once."""
 
     service: str
     version: str
@@ -128,8 +133,8 @@
 class Box:
     """One row of the platform's list of boxes.
 
-    `addresses` maps a role (`router`, `entry`, `control`, `http`) to `IP:port`.
-    `incarnation` differs between two lives of a box under the same address.
+    addresses: `IP:port` by role (`router`, `entry`, `control`, `http`)
+    incarnation: changes when the box restarts or is replaced under the same address
     """
 
     id: str
@@ -142,7 +147,7 @@
 
 @dataclass(frozen=True)
 class BoxList:
-    """The platform's list as it was at `as_of`, the platform's own growing number of the list."""
+    """The platform's list of boxes; `as_of` is its version number."""
 
     as_of: int = 0
     boxes: tuple[Box, ...] = ()
--- a/stairquay/core/plan.py
+++ b/stairquay/core/plan.py
@@ -1,4 +1,4 @@
-"""From an operator's intents to a plan: what will change, on which revisions, at which cost."""
+"""Plans: the changes that an operator's intents make, the revisions they depend on, and their cost."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -26,7 +26,7 @@
 
 
 class ObjectKind(str, Enum):
-    """What an intent is about."""
+    """Kind of the object that an intent changes."""
 
     SERVICE = "service"
     WORKSPACE = "workspace"
@@ -35,7 +35,7 @@
 
 
 class Operation(str, Enum):
-    """What an intent asks for."""
+    """Operation that an intent requests."""
 
     PUT = "put"
     DELETE = "delete"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Intent:
-    """One wish of an operator. `id` names the object; a version's id is `service/version`."""
+    """One change requested by an operator. `id` names the object; a version's id is `service/version`."""
 
     kind: ObjectKind
     id: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Change:
-    """One row that the plan writes; `before` and `after` are JSON text, None where no row is."""
+    """One row that the plan writes; `before` and `after` are JSON text, None for no row."""
 
     key: str
     before: str | None
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class Basis:
-    """A row that the plan stands on, and its revision (0: no such row)."""
+    """A row that the plan depends on, and its revision (0 for no such row)."""
 
     key: str
     revision: int
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class WeightLoad:
-    """A load of weights that the plan will cause."""
+    """A load of weights on an endpoint that the plan causes, from version `before` to version `after`."""
 
     endpoint: str
     before: str
@@ -85,7 +85,7 @@
 
 
 class PlanState(str, Enum):
-    """Where a plan stands."""
+    """State of a plan."""
 
     PROPOSED = "proposed"
     CONFIRMED = "confirmed"
@@ -93,9 +93,13 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """An answer to intents, made `at` Unix seconds.
+    """The changes that answer a request, to be confirmed by an operator.
 
-    `loads_s` is seconds until all loads are done, at `max_loading` at once.
+    at: Unix time of its creation
+    revision: configuration revision that it was made on
+    basis: rows that must be unchanged when it is confirmed
+    loads_s: estimated seconds until all loads are done
+    lost_kept_bytes: cached context of the versions that are replaced
     """
 
     id: str
@@ -112,7 +116,7 @@
 
 @dataclass(frozen=True)
 class RuntimeState:
-    """What the planner knows of the endpoints: versions running and kept bytes by version."""
+    """Running version by endpoint, and bytes of cached context by version."""
 
     versions_by_endpoint: Mapping[str, str] = field(default_factory=dict)
     kept_bytes_by_version: Mapping[str, int] = field(default_factory=dict)
@@ -141,7 +145,7 @@
     at: float,
     new_secret: Callable[[], str],
 ) -> Result[Plan, list[Mistake]]:
-    """Return the plan that answers the intents, or every mistake in them."""
+    """Return the plan for the intents, or all mistakes in them."""
     mistakes: list[Mistake] = []
     changes: list[Change] = []
     for number, intent in enumerate(request.intents):
@@ -208,7 +212,7 @@
 
 
 def _with_secret(value: Any, before: str | None, new_secret: Callable[[], str]) -> Any:
-    """Give a workspace its secret once and for all; other objects stay as they are."""
+    """Give a new workspace a secret and keep that of an existing one; return other objects unchanged."""
     if not isinstance(value, Workspace):
         return value
     if before is not None:
@@ -224,7 +228,7 @@
 
 
 def _validate(after: Configuration) -> list[Mistake]:
-    """Return what does not fit together in the configuration that the plan leads to."""
+    """Return the inconsistencies of the configuration that the plan leads to."""
     found = []
     for placement in after.placements.values():
         path = f"$.{PLACEMENT_PREFIX}{placement.service}"
@@ -278,7 +282,7 @@
 
 
 def _basis(current: Configuration, after: Configuration, changes: list[Change]) -> tuple[Basis, ...]:
-    """Return the rows that the plan writes or was checked against."""
+    """Return the rows that the plan writes or was validated against."""
     keys = {change.key for change in changes}
     for change in changes:
         keys |= _related_keys(change.key, current, after)
@@ -286,7 +290,7 @@
 
 
 def _related_keys(key: str, current: Configuration, after: Configuration) -> set[str]:
-    """Return the other rows that a change to `key` was checked against."""
+    """Return the other rows that a change to `key` was validated against."""
     if key.startswith(PLACEMENT_PREFIX):
         service = key.removeprefix(PLACEMENT_PREFIX)
         versions = {f"{VERSION_PREFIX}{service}/{name}" for owner, name in after.versions if owner == service}
--- a/stairquay/core/residency.py
+++ b/stairquay/core/residency.py
@@ -1,7 +1,6 @@
-"""Where a prompt's blocks may be: soft state about engines' memory and store boxes.
+"""Soft state about which prompt blocks are cached in engines and store boxes.
 
-Everything here may be wrong. A wrong guess costs time only: engines and store boxes have the last
-word on what they hold.
+It may be wrong, which costs time only: engines and store boxes check what they hold.
 """
 
 from collections import OrderedDict
@@ -15,13 +14,13 @@
 
 @dataclass
 class EngineCache:
-    """Blocks that one engine is believed to hold, least recently used first."""
+    """Blocks that one engine probably caches, least recently used first."""
 
     capacity_tokens: int = DEFAULT_CACHE_TOKENS
     blocks: OrderedDict[str, None] = field(default_factory=OrderedDict)
 
     def touch(self, ids: Iterable[str]) -> None:
-        """Mark blocks as held and most recently used."""
+        """Mark blocks as cached and most recently used, and evict beyond the capacity."""
         for block in ids:
             self.blocks[block] = None
             self.blocks.move_to_end(block)
@@ -30,12 +29,12 @@
             self.blocks.popitem(last=False)
 
     def drop(self, ids: Iterable[str]) -> None:
-        """Forget blocks."""
+        """Remove blocks."""
         for block in ids:
             self.blocks.pop(block, None)
 
     def prefix_length(self, ids: tuple[str, ...]) -> int:
-        """Return how many leading blocks of a chain are believed held."""
+        """Return how many leading blocks of a chain are probably cached."""
         for count, block in enumerate(ids):
             if block not in self.blocks:
                 return count
@@ -43,23 +42,23 @@
 
 
 class EngineCaches:
-    """Believed memory of every engine, by endpoint id."""
+    """Probable cache contents of every engine, by endpoint id."""
 
     def __init__(self) -> None:
         self.by_endpoint: dict[str, EngineCache] = {}
 
     def of(self, endpoint: str) -> EngineCache:
-        """Return the memory of an endpoint, empty at first."""
+        """Return the cache of an endpoint, created empty on first use."""
         return self.by_endpoint.setdefault(endpoint, EngineCache())
 
     def reset(self, endpoint: str) -> None:
-        """Forget all about an endpoint that started anew."""
+        """Drop the cache of an endpoint that restarted."""
         self.by_endpoint.pop(endpoint, None)
 
     def correct(self, endpoint: str, ids: tuple[str, ...], cached_blocks: int) -> None:
-        """Take in what an answer's usage said: these leading blocks were held, no more.
+        """Correct the cache by the number of leading blocks that a response reported as cached.
 
-        The run itself has put all of its blocks into memory by now.
+        By the end of the run, all of its blocks are cached.
         """
         memory = self.of(endpoint)
         memory.drop(ids[cached_blocks:])
@@ -68,7 +67,7 @@
 
 @dataclass(frozen=True)
 class StoredBlock:
-    """One block in a store box: its place in a segment, and the checksum of its bytes."""
+    """One block in a store box: its index in a segment, and the checksum of its bytes."""
 
     store: str
     segment: str
@@ -78,9 +77,13 @@
 
 @dataclass(frozen=True)
 class Segment:
-    """A run of blocks that were exported together, as its manifest describes it.
+    """Consecutive blocks of a prompt that were exported together, as described by their manifest.
 
-    `name` is unique for every export, so that a name is never used for other bytes.
+    name: unique for every export, never reused for other content
+    block_bytes: size of one block
+    version: weight version that the blocks were computed with
+    value: return probability at the time of export
+    used_at: Unix time of the last use
     """
 
     name: str
@@ -93,21 +96,21 @@
 
 
 class StoredBlockIndex:
-    """Blocks in store boxes by identity, derived from the boxes' own catalogues."""
+    """Locations of blocks in store boxes by block id, built from the boxes' catalogues."""
 
     def __init__(self) -> None:
         self.segments_by_store: dict[str, dict[str, Segment]] = {}
         self.locations_by_block: dict[str, dict[str, StoredBlock]] = {}
 
     def add(self, store: str, segment: Segment) -> None:
-        """Take in a segment whose manifest is written."""
+        """Add a segment whose manifest has been written."""
         self.segments_by_store.setdefault(store, {})[segment.name] = segment
         for index, block in enumerate(segment.ids):
             location = StoredBlock(store, segment.name, index, segment.checksums[index])
             self.locations_by_block.setdefault(block, {})[store] = location
 
     def remove(self, store: str, name: str) -> None:
-        """Forget a segment whose manifest is gone."""
+        """Remove a segment whose manifest has been deleted."""
         segment = self.segments_by_store.get(store, {}).pop(name, None)
         if segment is None:
             return
@@ -115,16 +118,16 @@
             self._remove_location(block, store, name)
 
     def reset(self, store: str) -> None:
-        """Forget all about a store box that started anew or left."""
+        """Remove all segments of a store box that restarted or left."""
         for name in list(self.segments_by_store.get(store, {})):
             self.remove(store, name)
 
     def has(self, block: str) -> bool:
-        """Tell whether any store box is believed to hold a block."""
+        """Tell whether any store box probably holds a block."""
         return block in self.locations_by_block
 
     def contiguous_blocks(self, store: str, ids: tuple[str, ...], start: int) -> tuple[StoredBlock, ...]:
-        """Return the unbroken run of a chain's blocks in one store, from index `start` on."""
+        """Return the blocks of a chain that one store holds without a gap, from index `start` on."""
         found = []
         for block in ids[start:]:
             location = self.locations_by_block.get(block, {}).get(store)
--- a/stairquay/core/retention.py
+++ b/stairquay/core/retention.py
@@ -1,8 +1,8 @@
-"""What to keep in store boxes and what to give up, by the saving that is expected per byte.
+"""Retention of cached context in store boxes: what to export and what to evict.
 
-Every token saves the same prefill time at the same bytes, so saving per byte is ordered by the
-probability that the conversation returns. That is learned from what came back, by workspace and
-by how many turns a conversation has had.
+Cached tokens are of equal size and save equal prefill time, so the expected saving per byte is
+proportional to the probability that the conversation continues. That is estimated from past returns,
+by workspace and number of turns.
 """
 
 from collections import OrderedDict
@@ -12,35 +12,35 @@
 from stairquay.core.residency import Segment
 
 MAX_TURN = 4
-"""Turns are counted up to this many; beyond it, conversations are taken to return alike."""
+"""Highest turn number with a return rate of its own; later turns share it."""
 
 PRIOR_RETURNED = 50.0
 PRIOR_SEEN = 100.0
-"""Before much is seen, one of two conversations is taken to return.
+"""Prior of a return rate: 50 returns in 100 turns.
 
-As strong as a hundred turns: one that has not returned yet counts as one that did not, though its gap
-may only be long, and a weak prior stopped all exports after five new conversations.
+A weak prior would stop all exports after a few turns, since a conversation that may still return counts
+as one that did not.
 """
 
 HIGH_WATERMARK = 0.95
-"""Share of a store box that may be taken, what is expected to come in included."""
+"""Share of a store box's capacity that may be used, expected inflow included."""
 
 MAX_INFLOW_SHARE = 0.2
-"""Share of a store box that is kept free for what comes in, at most."""
+"""Largest share of a store box's capacity that is reserved for expected inflow."""
 
 AGE_HALVING_S = 3600.0
-"""Age at which the worth of kept context has halved."""
+"""Seconds without use after which the value of a segment has halved."""
 
 
 @dataclass
 class ReturnRates:
-    """How often conversations came back, by (workspace, turn)."""
+    """Turns seen and conversations returned after them, by (workspace, turn)."""
 
     seen: dict[tuple[str, int], float] = field(default_factory=dict)
     returned: dict[tuple[str, int], float] = field(default_factory=dict)
 
     def on_turn(self, workspace: str, turn: int) -> None:
-        """Count a turn; a turn after the first is a return of the one before."""
+        """Count a turn; each turn after the first is a return after the previous one."""
         key = (workspace, min(turn, MAX_TURN))
         self.seen[key] = self.seen.get(key, 0.0) + 1.0
         if turn > 1:
@@ -48,7 +48,7 @@
             self.returned[before] = self.returned.get(before, 0.0) + 1.0
 
     def probability(self, workspace: str, turn: int) -> float:
-        """Return the probability that a conversation with this many turns returns."""
+        """Return the probability that a conversation returns after this turn."""
         key = (workspace, min(turn, MAX_TURN))
         returned = self.returned.get(key, 0.0) + PRIOR_RETURNED
         return min(1.0, returned / (self.seen.get(key, 0.0) + PRIOR_SEEN))
@@ -59,7 +59,7 @@
 
 @dataclass
 class TurnCounter:
-    """How many turns each conversation has had, least recently seen first."""
+    """Number of turns of each conversation, least recently seen first."""
 
     limit: int = MAX_TRACKED_FAMILIES
     turns_by_family: OrderedDict[bytes, int] = field(default_factory=OrderedDict)
@@ -67,8 +67,8 @@
     def on_turn(self, family: bytes, turn: int) -> int:
         """Count a turn and return its number.
 
-        The caller's own count holds where it is higher: this router may be new to the family. A
-        prompt that comes back unchanged counts as another turn.
+        The caller's `turn` is used where it is higher, since this router may not have seen the earlier
+        turns. A repeated prompt counts as another turn.
         """
         number = max(turn, self.turns_by_family.pop(family, 0) + 1)
         self.turns_by_family[family] = number
@@ -77,13 +77,13 @@
         return number
 
     def turns(self, family: bytes) -> int:
-        """Return how many turns a conversation is known to have had."""
+        """Return the known number of turns of a conversation, 1 for an unknown one."""
         return self.turns_by_family.get(family, 1)
 
 
 @dataclass(frozen=True)
 class ExportCandidate:
-    """Context that could be exported: worth (0 to 1) and bytes."""
+    """Context that may be exported: return probability (0 to 1) and size in bytes."""
 
     worth: float
     size: int
@@ -92,21 +92,21 @@
 KeepPolicy = Callable[[ExportCandidate], bool]
 
 KEEP_THRESHOLD = 0.15
-"""Worth below which context is not exported: the link's time is better left to others."""
+"""Return probability below which context is not exported, to save link bandwidth."""
 
 
 def keep_expected(candidate: ExportCandidate) -> bool:
-    """Keep what is likely enough to return."""
+    """Export context whose return probability reaches `KEEP_THRESHOLD`."""
     return candidate.worth >= KEEP_THRESHOLD
 
 
 def keep_all(_: ExportCandidate) -> bool:
-    """Baseline: keep everything."""
+    """Baseline: export everything."""
     return True
 
 
 def keep_nothing(_: ExportCandidate) -> bool:
-    """Baseline: keep nothing."""
+    """Baseline: export nothing."""
     return False
 
 
@@ -118,18 +118,18 @@
 
 
 def segment_bytes(segment: Segment) -> int:
-    """Return the bytes that a segment takes in a store box."""
+    """Return the size of a segment in a store box."""
     return segment.block_bytes * len(segment.ids)
 
 
 def order_by_saving(segment: Segment, now: float) -> float:
-    """Return the expected saving per byte; lowest goes first."""
+    """Order by expected saving per byte, discounted by age; the lowest is evicted first."""
     age_s = max(0.0, now - segment.used_at)
     return segment.value / (1.0 + age_s / AGE_HALVING_S)
 
 
 def order_by_use(segment: Segment, _: float) -> float:
-    """Baseline: least recently used goes first."""
+    """Baseline: the least recently used is evicted first."""
     return segment.used_at
 
 
@@ -140,10 +140,11 @@
 
 
 def excess_bytes(used: int, pending_free: int, inflow: int, capacity: int) -> float:
-    """Return the bytes to give up now so that a store box has room until they are freed.
+    """Return the bytes to evict now so that a store box has room until they are freed.
 
-    used: bytes taken, those of given-up segments too; bare: bytes given up and not freed yet; inflow:
-    bytes that came in during the last grace period, as many as are expected in the next.
+    used: bytes in use, those of evicted segments included
+    pending_free: bytes evicted but not freed yet
+    inflow: bytes received in the last grace period, expected again in the next
     """
     expected = min(inflow, capacity * MAX_INFLOW_SHARE)
     return used - pending_free + expected - capacity * HIGH_WATERMARK
@@ -155,7 +156,7 @@
     now: float,
     order: Callable[[Segment, float], float] = order_by_saving,
 ) -> list[Segment]:
-    """Return the segments to give up, least worth first, until `excess` bytes are covered."""
+    """Return the segments to evict, in `order`, until they cover `excess` bytes."""
     chosen = []
     for segment in sorted(segments, key=lambda item: order(item, now)):
         if excess <= 0:
--- a/stairquay/core/retry.py
+++ b/stairquay/core/retry.py
@@ -1,27 +1,27 @@
-"""Retry budget, jittered backoff, and ejection of failing endpoints with a cap."""
+"""Retry budget, backoff with jitter, and outlier ejection of failing endpoints."""
 
 from dataclasses import dataclass, field
 
 BUDGET_RATIO = 0.1
-"""Retries allowed per request that came in, over the long run."""
+"""Retries allowed per incoming request, in the long run."""
 
 BUDGET_MINIMUM = 5.0
-"""Retries that a quiet service may always spend before the ratio binds."""
+"""Initial budget, which lets a service with little traffic retry."""
 
 BACKOFF_BASE_S = 0.02
 BACKOFF_CAP_S = 1.0
 
 EJECT_AFTER_FAILURES = 3
-"""Failures in a row that eject an endpoint."""
+"""Consecutive failures after which an endpoint is ejected."""
 
 EJECT_BASE_S = 1.0
 EJECT_CAP_S = 30.0
 MAX_EJECTED_SHARE = 0.5
-"""Share of a service's endpoints that may be out at once."""
+"""Largest share of a service's endpoints that may be ejected at once."""
 
 
 class RetryBudget:
-    """A bucket filled by requests and drained by retries; one for each service."""
+    """Retry budget of one service: filled by requests, spent by retries."""
 
     def __init__(self, ratio: float = BUDGET_RATIO, minimum: float = BUDGET_MINIMUM) -> None:
         self.ratio = ratio
@@ -29,11 +29,11 @@
         self.level = minimum
 
     def on_request(self) -> None:
-        """Count one request that came in."""
+        """Add the share of one incoming request."""
         self.level = min(self.level + self.ratio, self.minimum * 10)
 
     def take(self) -> bool:
-        """Spend one retry, if the budget allows it."""
+        """Spend one retry if the budget allows it; return whether it does."""
         if self.level < 1.0:
             return False
         self.level -= 1.0
@@ -41,14 +41,14 @@
 
 
 def backoff_s(attempt: int, random_share: float) -> float:
-    """Return seconds before retry number `attempt` (from 1), by full jitter."""
+    """Return the seconds before retry number `attempt` (from 1), by exponential backoff with full jitter."""
     ceiling: float = min(BACKOFF_CAP_S, BACKOFF_BASE_S * 2**attempt)
     return ceiling * random_share
 
 
 @dataclass
 class EndpointHealth:
-    """Failures in a row, and until when the endpoint is out (monotonic seconds)."""
+    """Consecutive failures and ejections of an endpoint; `ejected_until` is in monotonic seconds."""
 
     failures: int = 0
     ejections: int = 0
@@ -62,11 +62,11 @@
     health_by_id: dict[str, EndpointHealth] = field(default_factory=dict)
 
     def on_success(self, endpoint: str) -> None:
-        """Forget an endpoint's failures."""
+        """Reset an endpoint's failures and ejections."""
         self.health_by_id.pop(endpoint, None)
 
     def on_failure(self, endpoint: str, now: float, total: int) -> bool:
-        """Count a failure; return True where it ejects the endpoint."""
+        """Count a failure; return whether it ejects the endpoint."""
         health = self.health_by_id.setdefault(endpoint, EndpointHealth())
         health.failures += 1
         if health.failures < EJECT_AFTER_FAILURES or health.ejected_until > now:
@@ -78,5 +78,5 @@
         return True
 
     def ejected(self, now: float) -> set[str]:
-        """Return the endpoints that are out now."""
+        """Return the endpoints that are ejected now."""
         return {key for key, health in self.health_by_id.items() if health.ejected_until > now}
--- a/stairquay/core/routing.py
+++ b/stairquay/core/routing.py
@@ -1,4 +1,4 @@
-"""Where a prompt runs: compare endpoints by predicted first-token time and recomputed tokens."""
+"""Routing policies: choose an endpoint by predicted time to first token and recomputed tokens."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -9,21 +9,21 @@
 from stairquay.core.residency import StoredBlock
 
 FULL_SCAN_LIMIT = 16
-"""Up to this many endpoints, all are compared."""
+"""Number of endpoints up to which all are compared."""
 
 SAMPLE_SIZE = 8
-"""Beyond it: every endpoint that holds part of the prompt, and this many others by chance."""
+"""Random endpoints compared beyond that number, besides all that cache part of the prompt."""
 
 TIE_TOLERANCE = 0.02
-"""Costs this close to the best are drawn by chance, so that many routers do not pick alike."""
+"""Relative cost difference within which the choice is random, so that routers do not pick alike."""
 
 IMPORT_SETUP_S = 0.01
-"""Fixed time of one import, besides its bytes."""
+"""Fixed time of one import, besides the transfer of its bytes."""
 
 
 @dataclass(frozen=True)
 class StoredRun:
-    """Blocks that a store box can bring after those already resident, and its link's queue and speed."""
+    """Blocks in one store box that follow an engine's resident ones, with its link's wait and speed."""
 
     store: str
     blocks: tuple[StoredBlock, ...]
@@ -33,7 +33,13 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """What is known of one endpoint for one prompt; tokens are counts, times are seconds."""
+    """State of one endpoint with respect to one prompt.
+
+    running: active runs
+    resident_blocks: leading blocks of the prompt that the engine caches
+    kept: following blocks that store boxes hold
+    loading_s: seconds to load the weights, 0 if they are loaded
+    """
 
     endpoint: str
     version: str
@@ -46,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """What a prompt asks for, and the weight between time (1) and recomputed tokens (0)."""
+    """Size of a prompt in tokens, and its cost weight from 0 (recomputed tokens) to 1 (time)."""
 
     tokens: int
     time_weight: float
@@ -54,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Import:
-    """Blocks to bring from a store box before the run starts."""
+    """Blocks to import from a store box before the run starts."""
 
     store: str
     blocks: tuple[StoredBlock, ...]
@@ -62,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Decision:
-    """Where to run, what to bring first, and what was predicted."""
+    """Chosen endpoint, import to make first, and predicted cost."""
 
     endpoint: str
     version: str
@@ -79,7 +85,7 @@
 def choose(
     demand: Demand, candidates: Sequence[Candidate], costs: EngineCosts, random: Random
 ) -> Decision | None:
-    """Return the cheapest decision over all candidates and ways to bring context."""
+    """Return the cheapest decision over all compared candidates and their import options."""
     scanned = _sample_candidates(candidates, random)
     decisions = [cheapest_option(demand, candidate, costs) for candidate in scanned]
     if not decisions:
@@ -88,11 +94,10 @@
 
 
 def cheapest_option(demand: Demand, candidate: Candidate, costs: EngineCosts) -> Decision:
-    """Return the cheapest way to run a prompt at one candidate.
+    """Return the cheapest option for running a prompt at one candidate.
 
-    Time is piecewise linear in the number of blocks brought: bringing is free while the prompt
-    would wait in the queue anyway, and has one slope after that. So the best number is at one of
-    the bends: nothing, what fits into the wait, or all.
+    Cost is piecewise linear in the number of imported blocks, since an import overlaps with the queue
+    wait. So only its breakpoints are compared: no import, what fits into the wait, and all blocks.
     """
     options = [_predict(demand, candidate, costs, None, ())]
     for run in candidate.kept:
@@ -102,19 +107,19 @@
 
 
 def import_time_s(run: StoredRun, blocks: int, costs: EngineCosts) -> float:
-    """Return seconds to bring a number of blocks, the link's queue included."""
+    """Return the seconds to import a number of blocks, with the wait for the link."""
     return run.link_wait_s + IMPORT_SETUP_S + blocks * block_bytes(costs) / run.link_bytes_s
 
 
 def block_bytes(costs: EngineCosts) -> int:
-    """Return the bytes of one block of kept context."""
+    """Return the size of one block of cached context."""
     return BLOCK_TOKENS * costs.kv_bytes_token
 
 
 def _breakpoints(candidate: Candidate, run: StoredRun, costs: EngineCosts) -> set[int]:
     spare_s = _queue_wait_s(candidate, costs) - run.link_wait_s - IMPORT_SETUP_S
     overlapped_blocks = int(max(0.0, spare_s) * run.link_bytes_s / block_bytes(costs))
-    # Blocks are whole: the bend may lie between what fits and one more.
+    # The breakpoint may lie between two whole numbers of blocks.
     return {
         min(count, len(run.blocks)) for count in (overlapped_blocks, overlapped_blocks + 1, len(run.blocks))
     } - {0}
@@ -152,7 +157,7 @@
 
 
 DECODE_STEPS_PER_EXTRA_RUN = 8
-"""Decode steps that a prompt is taken to wait for each run beyond an engine's slots."""
+"""Estimated decode steps that a prompt waits per run beyond an engine's slots."""
 
 
 def _sample_candidates(candidates: Sequence[Candidate], random: Random) -> Sequence[Candidate]:
@@ -170,7 +175,7 @@
 
 
 def round_robin() -> Policy:
-    """Return a baseline that takes endpoints in turn."""
+    """Return a baseline policy that takes endpoints in turn."""
     turn = 0
 
     def policy(
@@ -189,7 +194,7 @@
 def least_loaded(
     demand: Demand, candidates: Sequence[Candidate], costs: EngineCosts, random: Random
 ) -> Decision | None:
-    """Baseline: the endpoint with the fewest tokens waiting, then the fewest runs."""
+    """Baseline: the endpoint with the fewest queued tokens, then the fewest runs."""
     if not candidates:
         return None
     best = min(candidates, key=lambda item: (item.queued_tokens, item.running, random.random()))
@@ -199,7 +204,7 @@
 def prefix_affinity(
     demand: Demand, candidates: Sequence[Candidate], costs: EngineCosts, random: Random
 ) -> Decision | None:
-    """Baseline: the endpoint that holds most of the prompt, ties by load; nothing is brought."""
+    """Baseline: the endpoint that caches most of the prompt, then the least loaded; never imports."""
     if not candidates:
         return None
     best = max(candidates, key=lambda item: (item.resident_blocks, -item.queued_tokens, random.random()))
@@ -212,4 +217,4 @@
     "least-loaded": lambda: least_loaded,
     "prefix-affinity": lambda: prefix_affinity,
 }
-"""Routing policies by the name that settings use; all but the first are baselines for measuring."""
+"""Routing policies by their name in the settings; all but the first are baselines for benchmarks."""
