--- a/stairquay/core/plan.py
+++ b/stairquay/core/plan.py
@@ -186,7 +186,7 @@
     intent: Intent, current: Configuration, new_secret: Callable[[], str]
 ) -> Result[Change, list[Mistake]]:
     if not intent.id:
-        return Err([Mistake("$.id", "expected a name")])
+        return Err([Mistake("$.id", "expected a non-empty id")])
     key = PREFIXES[intent.kind] + intent.id
     row = current.rows_by_key.get(key)
     before = row.value if row is not None else None
@@ -235,9 +235,11 @@
         if placement.service not in after.services:
             found.append(Mistake(path, f"there is no service {placement.service!r}"))
         if (placement.service, placement.version) not in after.versions:
-            found.append(Mistake(path, f"there is no version {placement.version!r} of it"))
+            found.append(
+                Mistake(path, f"there is no version {placement.version!r} of service {placement.service!r}")
+            )
         if placement.max_loading < 1:
-            found.append(Mistake(path, "max_loading must be at least 1"))
+            found.append(Mistake(path, f"max_loading must be at least 1, not {placement.max_loading}"))
     for service, version in after.versions:
         if service not in after.services:
             path = f"$.{VERSION_PREFIX}{service}/{version}"
@@ -251,15 +253,21 @@
     for service in after.services.values():
         path = f"$.{SERVICE_PREFIX}{service.id}"
         if service.kind == ServiceKind.PLAIN and not service.path_prefix.startswith("/"):
-            found.append(Mistake(path, "a plain service needs a path_prefix that starts with /"))
+            found.append(
+                Mistake(
+                    path, f"path_prefix of a plain service must start with /, not {service.path_prefix!r}"
+                )
+            )
         if service.path_prefix.startswith(("/v1/", "/healthz", "/readyz", "/metrics")):
-            found.append(Mistake(path, f"path_prefix {service.path_prefix!r} is taken"))
+            found.append(Mistake(path, f"path_prefix {service.path_prefix!r} is reserved"))
         if service.path_prefix and service.path_prefix in owners:
             other = owners[service.path_prefix]
-            found.append(Mistake(path, f"path_prefix belongs to {other!r} already"))
+            found.append(
+                Mistake(path, f"path_prefix {service.path_prefix!r} is already used by service {other!r}")
+            )
         owners[service.path_prefix] = service.id
         if not 0.0 <= service.time_weight <= 1.0:
-            found.append(Mistake(path, "time_weight must lie between 0 and 1"))
+            found.append(Mistake(path, f"time_weight must be between 0 and 1, not {service.time_weight}"))
         if service.costs.prefill_tokens_s <= 0 or service.costs.link_bytes_s <= 0:
             found.append(Mistake(path, "prefill_tokens_s and link_bytes_s must be above 0"))
     return found
@@ -274,7 +282,7 @@
             found.append(Mistake(path, "weight, rate_s and max_in_flight must be above 0"))
         for key_hash in workspace.key_hashes:
             if owners.setdefault(key_hash, workspace.id) != workspace.id:
-                found.append(Mistake(path, f"a key belongs to {owners[key_hash]!r} already"))
+                found.append(Mistake(path, f"a key is already used by workspace {owners[key_hash]!r}"))
         for service in workspace.services:
             if service not in after.services:
                 found.append(Mistake(path, f"there is no service {service!r}"))
@@ -343,7 +351,7 @@
 def _warnings(changes: list[Change], after: Configuration) -> list[str]:
     found = []
     if not changes:
-        found.append("nothing changes: the configuration already says so")
+        found.append("no changes: the configuration already matches the intents")
     for change in changes:
         if change.after is None:
             found.append(f"{change.key} will be deleted")
