--- a/stairquay/core/plan.py
+++ b/stairquay/core/plan.py
@@ -318,11 +318,11 @@
 
 
 def _required_loads(after: Configuration, changes: list[Change], running: RuntimeState) -> list[WeightLoad]:
-    touched = {change.key.rpartition("/")[2] for change in changes if change.after is not None}
+    changed_ids = {change.key.rpartition("/")[2] for change in changes if change.after is not None}
     loads = []
     for service_id, placement in after.placements.items():
         service = after.services.get(service_id)
-        if service is None or service_id not in touched:
+        if service is None or service_id not in changed_ids:
             continue
         for endpoint in service.endpoints:
             version = running.versions_by_endpoint.get(endpoint.id, "")
--- a/stairquay/core/retention.py
+++ b/stairquay/core/retention.py
@@ -44,8 +44,8 @@
         key = (workspace, min(turn, MAX_TURN))
         self.seen[key] = self.seen.get(key, 0.0) + 1.0
         if turn > 1:
-            before = (workspace, min(turn - 1, MAX_TURN))
-            self.returned[before] = self.returned.get(before, 0.0) + 1.0
+            previous = (workspace, min(turn - 1, MAX_TURN))
+            self.returned[previous] = self.returned.get(previous, 0.0) + 1.0
 
     def probability(self, workspace: str, turn: int) -> float:
         """Return the probability that a conversation returns after this turn."""
@@ -85,7 +85,7 @@
 class ExportCandidate:
     """Context that may be exported: return probability (0 to 1) and size in bytes."""
 
-    worth: float
+    return_probability: float
     size: int
 
 
@@ -97,7 +97,7 @@
 
 def keep_expected(candidate: ExportCandidate) -> bool:
     """Export context whose return probability reaches `KEEP_THRESHOLD`."""
-    return candidate.worth >= KEEP_THRESHOLD
+    return candidate.return_probability >= KEEP_THRESHOLD
 
 
 def keep_all(_: ExportCandidate) -> bool:
--- a/stairquay/core/routing.py
+++ b/stairquay/core/routing.py
@@ -46,7 +46,7 @@
     queued_tokens: float = 0.0
     running: int = 0
     resident_blocks: int = 0
-    kept: tuple[StoredRun, ...] = ()
+    stored: tuple[StoredRun, ...] = ()
     loading_s: float = 0.0
 
 
@@ -86,8 +86,8 @@
     demand: Demand, candidates: Sequence[Candidate], costs: EngineCosts, random: Random
 ) -> Decision | None:
     """Return the cheapest decision over all compared candidates and their import options."""
-    scanned = _sample_candidates(candidates, random)
-    decisions = [cheapest_option(demand, candidate, costs) for candidate in scanned]
+    compared = _sample_candidates(candidates, random)
+    decisions = [cheapest_option(demand, candidate, costs) for candidate in compared]
     if not decisions:
         return None
     return _pick_cheapest(decisions, random)
@@ -100,7 +100,7 @@
     wait. So only its breakpoints are compared: no import, what fits into the wait, and all blocks.
     """
     options = [_predict(demand, candidate, costs, None, ())]
-    for run in candidate.kept:
+    for run in candidate.stored:
         for count in _breakpoints(candidate, run, costs):
             options.append(_predict(demand, candidate, costs, run, run.blocks[:count]))
     return min(options, key=lambda option: option.cost)
@@ -132,11 +132,11 @@
     run: StoredRun | None,
     blocks: tuple[StoredBlock, ...],
 ) -> Decision:
-    held = (candidate.resident_blocks + len(blocks)) * BLOCK_TOKENS
-    missing = max(1, demand.tokens - held)
+    cached_tokens = (candidate.resident_blocks + len(blocks)) * BLOCK_TOKENS
+    missing_tokens = max(1, demand.tokens - cached_tokens)
     import_s = 0.0 if run is None else import_time_s(run, len(blocks), costs)
     start_s = max(_queue_wait_s(candidate, costs), import_s)
-    prefill_s = missing / costs.prefill_tokens_s
+    prefill_s = missing_tokens / costs.prefill_tokens_s
     first_token_s = start_s + prefill_s
     cost = demand.time_weight * first_token_s + (1 - demand.time_weight) * prefill_s
     return Decision(
@@ -145,15 +145,15 @@
         resident_blocks=candidate.resident_blocks,
         import_=None if run is None else Import(run.store, blocks),
         first_token_s=first_token_s,
-        missing_tokens=missing,
+        missing_tokens=missing_tokens,
         cost=cost,
     )
 
 
 def _queue_wait_s(candidate: Candidate, costs: EngineCosts) -> float:
     waiting = candidate.queued_tokens / costs.prefill_tokens_s
-    over = max(0, candidate.running + 1 - costs.slots)
-    return waiting + candidate.loading_s + over * costs.decode_step_s * DECODE_STEPS_PER_EXTRA_RUN
+    excess_runs = max(0, candidate.running + 1 - costs.slots)
+    return waiting + candidate.loading_s + excess_runs * costs.decode_step_s * DECODE_STEPS_PER_EXTRA_RUN
 
 
 DECODE_STEPS_PER_EXTRA_RUN = 8
--- a/stairquay/router/state.py
+++ b/stairquay/router/state.py
@@ -180,7 +180,7 @@
         queued_tokens=load.queued_tokens(now, service.costs.prefill_tokens_s),
         running=load.running(),
         resident_blocks=resident,
-        kept=_kept_runs(state, service, stores, ids, resident, now),
+        stored=_kept_runs(state, service, stores, ids, resident, now),
         loading_s=0.0 if version else service.costs.load_s,
     )
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -127,24 +127,26 @@
 @given(st.integers(1, 60), st.floats(0, 3), st.floats(1e8, 1e11), st.floats(0, 50_000), st.floats(0, 1))
 def test_the_way_chosen_is_never_dearer_than_any_number_of_blocks(count, wait_s, rate, queued, weight):
     demand = Demand(count * BLOCK_TOKENS + 100, weight)
-    full = Candidate("e", "v", queued, kept=(kept(count, wait_s, rate),))
+    full = Candidate("e", "v", queued, stored=(kept(count, wait_s, rate),))
     best = cheapest_option(demand, full, COSTS).cost
     for part in range(0, count + 1, max(1, count // 7)):
-        partial = Candidate("e", "v", queued, kept=(kept(part, wait_s, rate),) if part else ())
+        partial = Candidate("e", "v", queued, stored=(kept(part, wait_s, rate),) if part else ())
         assert best <= cheapest_option(demand, partial, COSTS).cost + 1e-9
 
 
 def test_a_slow_link_is_left_alone_and_a_fast_one_used():
     demand = Demand(20 * BLOCK_TOKENS, 0.8)
-    slow = cheapest_option(demand, Candidate("e", "v", kept=(kept(20, rate=2e8),)), COSTS)
-    fast = cheapest_option(demand, Candidate("e", "v", kept=(kept(20),)), COSTS)
+    slow = cheapest_option(demand, Candidate("e", "v", stored=(kept(20, rate=2e8),)), COSTS)
+    fast = cheapest_option(demand, Candidate("e", "v", stored=(kept(20),)), COSTS)
     assert slow.import_ is None
     assert fast.import_ is not None and len(fast.import_.blocks) == 20
 
 
 def test_while_a_prompt_would_wait_anyway_bringing_part_is_free():
     demand = Demand(20 * BLOCK_TOKENS, 1.0)
-    way = cheapest_option(demand, Candidate("e", "v", queued_tokens=2_000, kept=(kept(20, rate=1e9),)), COSTS)
+    way = cheapest_option(
+        demand, Candidate("e", "v", queued_tokens=2_000, stored=(kept(20, rate=1e9),)), COSTS
+    )
     assert way.import_ is not None and 0 < len(way.import_.blocks) < 20
 
 
