--- a/stairquay/core/admission.py
+++ b/stairquay/core/admission.py
@@ -1,7 +1,7 @@
 """Admission control: limits per workspace, and fair queueing for a service's slots.
 
-Start-time fair queueing gives each workspace's requests tags that advance by 1/weight; the smallest
-tag is served next. A request whose predicted wait is too long is refused with a retry delay.
+Start-time fair queueing: tags advance by 1/weight for each request of a workspace, and the smallest tag
+is served next. A request whose predicted wait is too long is refused with a retry delay.
 """
 
 import heapq
@@ -23,7 +23,7 @@
 
 @dataclass
 class TokenBucket:
-    """Token bucket of `rate_s` tokens per second; `level` is the balance at `at` (monotonic seconds)."""
+    """Token bucket of `rate_s` tokens per second; holds `level` tokens at `at` (monotonic seconds)."""
 
     rate_s: float
     burst: float
@@ -40,7 +40,7 @@
         return (1.0 - self.level) / self.rate_s
 
     def overdraw(self, amount: float, now: float) -> bool:
-        """Take any amount if the balance is positive, which may make it negative; else return False."""
+        """Take any amount, which may leave a negative level; return False if the level is not positive."""
         self.level = min(self.burst, self.level + (now - self.at) * self.rate_s)
         self.at = now
         if self.level <= 0.0:
@@ -99,7 +99,6 @@
     """Slots of one service on this box, and the requests that wait for them.
 
     A request holds a starting slot until its first byte, and a slot until its end.
-    mean_slot_s, mean_starting_slot_s: moving averages of the times that these are held
     """
 
     slots: int
@@ -120,8 +119,7 @@
     def offer(self, workspace: Workspace, returning: bool = True) -> Ticket | Refusal:
         """Queue a request, or refuse it if its predicted wait is too long.
 
-        New conversations are refused first: a returning one reuses cached context, which may be evicted
-        before it retries.
+        New conversations are refused first: a returning one can reuse cached context.
         """
         self.weights[workspace.id] = workspace.weight
         limit_s = self.max_wait_s if returning else self.max_wait_s * NEW_CONVERSATION_WAIT_SHARE
@@ -165,12 +163,12 @@
         self.mean_starting_slot_s += SERVICE_TIME_GAIN * (held_s - self.mean_starting_slot_s)
 
     def release(self, held_s: float) -> None:
-        """Release a slot after `held_s` seconds, once its starting slot has been released."""
+        """Release a slot after `held_s` seconds; its starting slot must be released before."""
         self.running -= 1
         self.mean_slot_s += SERVICE_TIME_GAIN * (held_s - self.mean_slot_s)
 
     def overload_refusal(self, workspace: Workspace, limit_s: float) -> Refusal:
-        """Return the refusal, with its retry delay, of a request whose predicted wait exceeds `limit_s`."""
+        """Return the refusal of a request whose predicted wait exceeds `limit_s`."""
         over_s = self.predicted_wait_s(workspace) - limit_s
         return Refusal(ErrorKind.OVERLOADED, retry_after_s=max(0.0, over_s) + self.mean_slot_s)
 
@@ -194,7 +192,7 @@
             del self.waiting[workspace_id]
 
     def _drop_idle_tags(self) -> None:
-        """Drop tags of idle workspaces that lie behind the virtual time, once there are many."""
+        """Drop expired tags of idle workspaces, once there are many."""
         if len(self.finish_tags) <= 2 * len(self.waiting) + MAX_IDLE_TAGS:
             return
         stale = [key for key, tag in self.finish_tags.items() if tag <= self.virtual_time]
--- a/stairquay/core/configuration.py
+++ b/stairquay/core/configuration.py
@@ -1,6 +1,6 @@
 """Configuration rows with revisions, and the typed objects decoded from them.
 
-Of two versions of a row, merging keeps the one with the higher revision, whatever their order of arrival.
+Merging keeps the higher revision of each row, whatever the order of arrival.
 """
 
 from dataclasses import dataclass, field
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """All configuration rows up to `revision`, deleted ones included."""
+    """All configuration rows up to `revision`."""
 
     revision: int = 0
     rows_by_key: dict[str, Row] = field(default_factory=dict)
--- a/stairquay/core/decode.py
+++ b/stairquay/core/decode.py
@@ -13,7 +13,7 @@
 
 
 def decode(value: object, kind: type[T]) -> Result[T, list[Mistake]]:
-    """Decode `value` into a `kind`, or return all mistakes in it."""
+    """Decode `value` as a `kind`, or return all mistakes in it."""
     if not isinstance(value, Mapping):
         return Err([Mistake("$", "expected an object")])
     try:
--- a/stairquay/core/errors.py
+++ b/stairquay/core/errors.py
@@ -145,7 +145,7 @@
 
     @property
     def effective_retry_after_s(self) -> float | None:
-        """Return the seconds until a retry can succeed, or None where it cannot."""
+        """Return seconds until a retry can succeed, or None where it cannot."""
         if not self.response.retry:
             return None
         if self.retry_after_s is None:
--- a/stairquay/core/freshness.py
+++ b/stairquay/core/freshness.py
@@ -1,8 +1,7 @@
 """Freshness of a process's view of the configuration and the boxes.
 
-A view is fresh while the platform answers. During a platform outage, a router's view stays fresh while
-it reaches a majority of all routers, itself included, since one of them sees every configuration change.
-A router that reaches neither is partitioned, and its box takes no new requests.
+A view is fresh while the platform answers, or while a router reaches a majority of all routers, itself
+included: one of them sees every configuration change. Otherwise its box takes no new requests.
 """
 
 from dataclasses import dataclass, field
@@ -38,7 +37,7 @@
         self.platform_at = now
 
     def on_peer(self, peer: str, now: float, loaded: bool) -> None:
-        """Record a response of a peer; `loaded` tells whether the peer has a configuration."""
+        """Record a response of a peer, and whether it has a configuration."""
         self.loaded = self.loaded or loaded
         self.peers_at[peer] = now
 
--- a/stairquay/core/identity.py
+++ b/stairquay/core/identity.py
@@ -1,8 +1,7 @@
 """Identities of prompt blocks: keyed hash chains, separate for each workspace and weight version.
 
-A prompt is split into blocks of `BLOCK_TOKENS` tokens. Each block's digest covers the whole prefix up
-to its end. The hash is keyed with the workspace's secret, so that workspaces share no cached blocks
-and block ids cannot be guessed.
+Each block's digest covers the whole prefix up to its end. The hash is keyed with the workspace's secret,
+so that workspaces share no cached blocks and block ids cannot be guessed.
 """
 
 import hashlib
@@ -48,7 +47,7 @@
 
 
 def identify_prompt(key: bytes, opening: bytes, text: bytes) -> Prompt:
-    """Return the prompt's identity; `opening` is the part that stays the same through a conversation."""
+    """Return the prompt's identity; `opening` is the part that a conversation never changes."""
     family = hashlib.blake2b(opening, key=key, digest_size=DIGEST_BYTES).digest()
     return Prompt(family, digest_chain(key, text), count_tokens(text))
 
--- a/stairquay/core/lease.py
+++ b/stairquay/core/lease.py
@@ -1,23 +1,18 @@
 """Leases in the table service, and the fencing tokens that orders carry.
 
-The holder stops before the lease ends by its own monotonic clock. Another process takes over only after
-it has seen the row unchanged for the whole duration of the lease by its own clock.
+Each process uses its own monotonic clock: the holder stops before the lease ends, and another takes over
+only after it has seen the row unchanged for the whole duration.
 """
 
 from dataclasses import dataclass
 
 HOLDER_SHARE = 0.6
-"""Share of the lease in which the holder may act; the rest covers process pauses and orders in transit."""
+"""Share of the lease in which the holder may act; the rest covers pauses and orders in transit."""
 
 
 @dataclass(frozen=True)
 class LeaseRow:
-    """The lease as stored in the table.
-
-    token: fencing token, incremented with every change of holder
-    duration_s: seconds from the last write
-    renewal: incremented with every write
-    """
+    """The stored lease: `token` increments with every change of holder, `renewal` with every write."""
 
     holder: str
     token: int
@@ -27,7 +22,7 @@
 
 @dataclass(frozen=True)
 class HeldLease:
-    """The holder's view of its lease; `sent_at` is the monotonic time just before the write was sent."""
+    """The holder's view; `sent_at` is the monotonic time just before its last write."""
 
     row: LeaseRow
     revision: int
@@ -40,19 +35,19 @@
 
 @dataclass(frozen=True)
 class ObservedLease:
-    """Another process's view; `first_seen` is its monotonic time at the first read of this revision."""
+    """Another process's view; `first_seen` is its monotonic time when it first read this revision."""
 
     row: LeaseRow
     revision: int
     first_seen: float
 
     def expired(self, now: float) -> bool:
-        """Tell whether the lease has ended, so that the holder must have stopped."""
+        """Tell whether the lease has ended."""
         return now >= self.first_seen + self.row.duration_s
 
 
 def observe(previous: ObservedLease | None, row: LeaseRow, revision: int, now: float) -> ObservedLease:
-    """Return the view after a read of the row; an unchanged revision keeps its `first_seen`."""
+    """Return the view after a read; an unchanged row keeps its `first_seen`."""
     if previous is not None and previous.revision == revision:
         return previous
     return ObservedLease(row, revision, now)
--- a/stairquay/core/load.py
+++ b/stairquay/core/load.py
@@ -1,4 +1,4 @@
-"""Estimated load of endpoints: their last reports, plus the prompts that this router has sent since."""
+"""Estimated load of endpoints: the last report, plus the prompts sent since."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """An engine's report on itself; `taken_at` is local monotonic time, corrected for the report's delay."""
+    """An engine's report on itself; `taken_at` is local monotonic time, corrected for delay."""
 
     taken_at: float = 0.0
     queued_tokens: int = 0
@@ -20,11 +20,7 @@
 
 @dataclass
 class EndpointLoad:
-    """The last report of an endpoint, and the prompts sent since.
-
-    unreported: prompts as (time sent, tokens to prefill)
-    in_flight: runs sent by this router that have not ended
-    """
+    """The last report of an endpoint, and the prompts sent since, as (time sent, tokens to prefill)."""
 
     report: LoadReport = field(default_factory=LoadReport)
     unreported: deque[tuple[float, int]] = field(default_factory=deque)
@@ -61,7 +57,7 @@
         return max(self.report.running + len(self.unreported), self.in_flight)
 
     def _sent_tokens(self, now: float, prefill_tokens_s: float) -> float:
-        """Return the tokens left of the unreported prompts, in a queue that drains at `prefill_tokens_s`."""
+        """Return the tokens still queued of the unreported prompts."""
         waiting = 0.0
         last = 0.0
         for sent_at, tokens in self.unreported:
--- a/stairquay/core/membership.py
+++ b/stairquay/core/membership.py
@@ -1,7 +1,6 @@
-"""Which boxes may get new work: the platform's list, corrected by endpoints' own departure notices.
+"""Which boxes may get new work: the platform's list, corrected by endpoints' departure notices.
 
-The list may lag behind. A departure notice takes effect at once and holds for its incarnation; the
-endpoint is usable again only under another incarnation.
+The list may lag behind. A departure notice takes effect at once and ends with its incarnation.
 """
 
 from dataclasses import dataclass, field, replace
@@ -10,7 +9,7 @@
 
 
 def _is_valid(box: Box) -> bool:
-    """Tell whether a row is usable; other rows are dropped so that one bad row does not stop its readers."""
+    """Tell whether a row can be used; others are dropped, so that one bad row does not stop its readers."""
     return box.kind == BoxKind.STAIRQUAY or "http" in box.addresses
 
 
--- a/stairquay/core/models.py
+++ b/stairquay/core/models.py
@@ -14,11 +14,7 @@
 
 @dataclass(frozen=True)
 class EndpointSpec:
-    """One endpoint of a service.
-
-    id: its id in the platform's list of boxes
-    checks_orders: whether the endpoint rejects orders with an outdated fencing token
-    """
+    """An endpoint of a service; `checks_orders` means that it rejects outdated fencing tokens."""
 
     id: str
     checks_orders: bool = False
@@ -26,16 +22,15 @@
 
 @dataclass(frozen=True)
 class EngineCosts:
-    """Speeds and capacities of a service's engines, for predictions.
+    """Speeds and capacities of one engine, for predictions.
 
-    prefill_tokens_s: prompt tokens prefilled per second by one engine
-    decode_step_s: seconds per output token of a run
+    prefill_tokens_s: prompt tokens per second
+    decode_step_s: seconds per output token
     kv_bytes_token: bytes of cached context per token
-    link_bytes_s: bytes per second between an engine and a store box
+    link_bytes_s: bytes per second to or from a store box
     load_s: seconds to load weights
-    slots: concurrent runs of one engine
-    starting_slots: concurrent runs of one engine before their first token; more would queue in the engine,
-        outside the fair queue
+    slots: concurrent runs
+    starting_slots: concurrent runs before their first token; more would bypass the fair queue
     """
 
     prefill_tokens_s: float = 10_000.0
@@ -49,11 +44,10 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A service: engines that callers address by model name, or plain endpoints by path prefix.
+    """A service: engines addressed by model name, or plain endpoints by path prefix.
 
-    stores: ids of the store boxes that cache context for it
-    time_weight: weight in routing, from 0 (recomputed tokens only) to 1 (time to first token only)
-    timeout_s: seconds that a request may take
+    stores: ids of its store boxes
+    time_weight: routing cost, from 0 (recomputed tokens only) to 1 (time to first token only)
     """
 
     id: str
@@ -73,9 +67,9 @@
 
     key_hashes: SHA-256 of its keys, in hex
     weight: share in fair queueing
-    rate_s, burst: requests per second, and burst size, over the whole system
+    rate_s: requests per second over the whole system
     services: ids of the services that it may call; empty for all
-    kept_secret: key of its block ids, which separates its cached context from that of others
+    kept_secret: key of its block ids
     """
 
     id: str
@@ -101,7 +95,7 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """The version that a service's endpoints should run, and how many of them may load it at once."""
+    """The version that a service's endpoints should run, and how many may load it at once."""
 
     service: str
     version: str
@@ -134,7 +128,7 @@
     """One row of the platform's list of boxes.
 
     addresses: `IP:port` by role (`router`, `entry`, `control`, `http`)
-    incarnation: changes when the box restarts or is replaced under the same address
+    incarnation: changes when the box restarts or is replaced
     """
 
     id: str
--- a/stairquay/core/plan.py
+++ b/stairquay/core/plan.py
@@ -1,4 +1,4 @@
-"""Plans: the changes that an operator's intents make, the revisions they depend on, and their cost."""
+"""Plans: the changes that an operator's intents lead to, their preconditions and their cost."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Intent:
-    """One change requested by an operator. `id` names the object; a version's id is `service/version`."""
+    """A change requested by an operator; the `id` of a version is `service/version`."""
 
     kind: ObjectKind
     id: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Change:
-    """One row that the plan writes; `before` and `after` are JSON text, None for no row."""
+    """A row that the plan writes; `before` and `after` are JSON text, None for no row."""
 
     key: str
     before: str | None
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class Basis:
-    """A row that the plan depends on, and its revision (0 for no such row)."""
+    """A row that the plan depends on, and its revision (0 for no row)."""
 
     key: str
     revision: int
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class WeightLoad:
-    """A load of weights on an endpoint that the plan causes, from version `before` to version `after`."""
+    """A change of the version that an endpoint runs."""
 
     endpoint: str
     before: str
@@ -93,13 +93,12 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """The changes that answer a request, to be confirmed by an operator.
+    """Proposed changes, to be confirmed by an operator.
 
-    at: Unix time of its creation
-    revision: configuration revision that it was made on
-    basis: rows that must be unchanged when it is confirmed
+    at: creation time in Unix seconds
+    basis: rows that must be unchanged on confirmation
     loads_s: estimated seconds until all loads are done
-    lost_kept_bytes: cached context of the versions that are replaced
+    lost_kept_bytes: cached context of replaced versions
     """
 
     id: str
@@ -212,7 +211,7 @@
 
 
 def _with_secret(value: Any, before: str | None, new_secret: Callable[[], str]) -> Any:
-    """Give a new workspace a secret and keep that of an existing one; return other objects unchanged."""
+    """Keep the secret of an existing workspace, or generate one for a new workspace."""
     if not isinstance(value, Workspace):
         return value
     if before is not None:
@@ -228,7 +227,7 @@
 
 
 def _validate(after: Configuration) -> list[Mistake]:
-    """Return the inconsistencies of the configuration that the plan leads to."""
+    """Return the inconsistencies of the planned configuration."""
     found = []
     for placement in after.placements.values():
         path = f"$.{PLACEMENT_PREFIX}{placement.service}"
@@ -298,7 +297,7 @@
 
 
 def _related_keys(key: str, current: Configuration, after: Configuration) -> set[str]:
-    """Return the other rows that a change to `key` was validated against."""
+    """Return the keys of other rows that a change to `key` was validated against."""
     if key.startswith(PLACEMENT_PREFIX):
         service = key.removeprefix(PLACEMENT_PREFIX)
         versions = {f"{VERSION_PREFIX}{service}/{name}" for owner, name in after.versions if owner == service}
--- a/stairquay/core/residency.py
+++ b/stairquay/core/residency.py
@@ -1,6 +1,6 @@
-"""Soft state about which prompt blocks are cached in engines and store boxes.
+"""Estimates of which prompt blocks are cached in engines and store boxes.
 
-It may be wrong, which costs time only: engines and store boxes check what they hold.
+An error costs time only: engines and store boxes check what they hold.
 """
 
 from collections import OrderedDict
@@ -14,13 +14,13 @@
 
 @dataclass
 class EngineCache:
-    """Blocks that one engine probably caches, least recently used first."""
+    """Estimated cache contents of one engine, least recently used first."""
 
     capacity_tokens: int = DEFAULT_CACHE_TOKENS
     blocks: OrderedDict[str, None] = field(default_factory=OrderedDict)
 
     def touch(self, ids: Iterable[str]) -> None:
-        """Mark blocks as cached and most recently used, and evict beyond the capacity."""
+        """Mark blocks as cached and most recently used."""
         for block in ids:
             self.blocks[block] = None
             self.blocks.move_to_end(block)
@@ -34,7 +34,7 @@
             self.blocks.pop(block, None)
 
     def prefix_length(self, ids: tuple[str, ...]) -> int:
-        """Return how many leading blocks of a chain are probably cached."""
+        """Return the number of leading blocks of a chain that are cached."""
         for count, block in enumerate(ids):
             if block not in self.blocks:
                 return count
@@ -42,13 +42,13 @@
 
 
 class EngineCaches:
-    """Probable cache contents of every engine, by endpoint id."""
+    """Estimated cache contents of all engines, by endpoint id."""
 
     def __init__(self) -> None:
         self.by_endpoint: dict[str, EngineCache] = {}
 
     def of(self, endpoint: str) -> EngineCache:
-        """Return the cache of an endpoint, created empty on first use."""
+        """Return the cache of an endpoint, empty at first."""
         return self.by_endpoint.setdefault(endpoint, EngineCache())
 
     def reset(self, endpoint: str) -> None:
@@ -56,10 +56,7 @@
         self.by_endpoint.pop(endpoint, None)
 
     def correct(self, endpoint: str, ids: tuple[str, ...], cached_blocks: int) -> None:
-        """Correct the cache by the number of leading blocks that a response reported as cached.
-
-        By the end of the run, all of its blocks are cached.
-        """
+        """Update the cache after a run that reported its leading cached blocks; all are cached now."""
         memory = self.of(endpoint)
         memory.drop(ids[cached_blocks:])
         memory.touch(ids)
@@ -77,12 +74,11 @@
 
 @dataclass(frozen=True)
 class Segment:
-    """Consecutive blocks of a prompt that were exported together, as described by their manifest.
+    """Manifest of consecutive blocks that were exported together.
 
-    name: unique for every export, never reused for other content
-    block_bytes: size of one block
-    version: weight version that the blocks were computed with
-    value: return probability at the time of export
+    name: unique for every export
+    version: weight version
+    value: return probability at the last use
     used_at: Unix time of the last use
     """
 
@@ -103,14 +99,14 @@
         self.locations_by_block: dict[str, dict[str, StoredBlock]] = {}
 
     def add(self, store: str, segment: Segment) -> None:
-        """Add a segment whose manifest has been written."""
+        """Add a segment, once its manifest is written."""
         self.segments_by_store.setdefault(store, {})[segment.name] = segment
         for index, block in enumerate(segment.ids):
             location = StoredBlock(store, segment.name, index, segment.checksums[index])
             self.locations_by_block.setdefault(block, {})[store] = location
 
     def remove(self, store: str, name: str) -> None:
-        """Remove a segment whose manifest has been deleted."""
+        """Remove a segment, once its manifest is deleted."""
         segment = self.segments_by_store.get(store, {}).pop(name, None)
         if segment is None:
             return
@@ -123,11 +119,11 @@
             self.remove(store, name)
 
     def has(self, block: str) -> bool:
-        """Tell whether any store box probably holds a block."""
+        """Tell whether any store box holds a block."""
         return block in self.locations_by_block
 
     def contiguous_blocks(self, store: str, ids: tuple[str, ...], start: int) -> tuple[StoredBlock, ...]:
-        """Return the blocks of a chain that one store holds without a gap, from index `start` on."""
+        """Return the blocks of a chain that a store holds from index `start` up to the first gap."""
         found = []
         for block in ids[start:]:
             location = self.locations_by_block.get(block, {}).get(store)
--- a/stairquay/core/retention.py
+++ b/stairquay/core/retention.py
@@ -1,8 +1,7 @@
 """Retention of cached context in store boxes: what to export and what to evict.
 
-Cached tokens are of equal size and save equal prefill time, so the expected saving per byte is
-proportional to the probability that the conversation continues. That is estimated from past returns,
-by workspace and number of turns.
+The expected saving per byte is proportional to the probability that the conversation returns, which is
+estimated from past returns by workspace and turn.
 """
 
 from collections import OrderedDict
@@ -16,20 +15,19 @@
 
 PRIOR_RETURNED = 50.0
 PRIOR_SEEN = 100.0
-"""Prior of a return rate: 50 returns in 100 turns.
+"""Prior of a return rate.
 
-A weak prior would stop all exports after a few turns, since a conversation that may still return counts
-as one that did not.
+A weak prior would stop all exports early: a conversation counts as not returned until it returns.
 """
 
 HIGH_WATERMARK = 0.95
 """Share of a store box's capacity that may be used, expected inflow included."""
 
 MAX_INFLOW_SHARE = 0.2
-"""Largest share of a store box's capacity that is reserved for expected inflow."""
+"""Share of a store box's capacity reserved for expected inflow, at most."""
 
 AGE_HALVING_S = 3600.0
-"""Seconds without use after which the value of a segment has halved."""
+"""Seconds without use after which a segment's value has halved."""
 
 
 @dataclass
@@ -40,7 +38,7 @@
     returned: dict[tuple[str, int], float] = field(default_factory=dict)
 
     def on_turn(self, workspace: str, turn: int) -> None:
-        """Count a turn; each turn after the first is a return after the previous one."""
+        """Count a turn, and the return after the previous turn."""
         key = (workspace, min(turn, MAX_TURN))
         self.seen[key] = self.seen.get(key, 0.0) + 1.0
         if turn > 1:
@@ -67,8 +65,7 @@
     def on_turn(self, family: bytes, turn: int) -> int:
         """Count a turn and return its number.
 
-        The caller's `turn` is used where it is higher, since this router may not have seen the earlier
-        turns. A repeated prompt counts as another turn.
+        The caller's `turn` is used where it is higher: this router may not have seen earlier turns.
         """
         number = max(turn, self.turns_by_family.pop(family, 0) + 1)
         self.turns_by_family[family] = number
@@ -77,7 +74,7 @@
         return number
 
     def turns(self, family: bytes) -> int:
-        """Return the known number of turns of a conversation, 1 for an unknown one."""
+        """Return the number of turns of a conversation, 1 if unknown."""
         return self.turns_by_family.get(family, 1)
 
 
@@ -92,11 +89,11 @@
 KeepPolicy = Callable[[ExportCandidate], bool]
 
 KEEP_THRESHOLD = 0.15
-"""Return probability below which context is not exported, to save link bandwidth."""
+"""Return probability below which context is not exported."""
 
 
 def keep_expected(candidate: ExportCandidate) -> bool:
-    """Export context whose return probability reaches `KEEP_THRESHOLD`."""
+    """Export what is likely to be reused."""
     return candidate.return_probability >= KEEP_THRESHOLD
 
 
--- a/stairquay/core/retry.py
+++ b/stairquay/core/retry.py
@@ -6,7 +6,7 @@
 """Retries allowed per incoming request, in the long run."""
 
 BUDGET_MINIMUM = 5.0
-"""Initial budget, which lets a service with little traffic retry."""
+"""Initial budget."""
 
 BACKOFF_BASE_S = 0.02
 BACKOFF_CAP_S = 1.0
@@ -17,7 +17,7 @@
 EJECT_BASE_S = 1.0
 EJECT_CAP_S = 30.0
 MAX_EJECTED_SHARE = 0.5
-"""Largest share of a service's endpoints that may be ejected at once."""
+"""Share of a service's endpoints that may be ejected at once."""
 
 
 class RetryBudget:
@@ -33,7 +33,7 @@
         self.level = min(self.level + self.ratio, self.minimum * 10)
 
     def take(self) -> bool:
-        """Spend one retry if the budget allows it; return whether it does."""
+        """Spend one retry if the budget allows it."""
         if self.level < 1.0:
             return False
         self.level -= 1.0
@@ -41,14 +41,14 @@
 
 
 def backoff_s(attempt: int, random_share: float) -> float:
-    """Return the seconds before retry number `attempt` (from 1), by exponential backoff with full jitter."""
+    """Return the seconds before retry `attempt` (from 1): exponential backoff with full jitter."""
     ceiling: float = min(BACKOFF_CAP_S, BACKOFF_BASE_S * 2**attempt)
     return ceiling * random_share
 
 
 @dataclass
 class EndpointHealth:
-    """Consecutive failures and ejections of an endpoint; `ejected_until` is in monotonic seconds."""
+    """Consecutive failures of an endpoint; `ejected_until` is in monotonic seconds."""
 
     failures: int = 0
     ejections: int = 0
--- a/stairquay/core/routing.py
+++ b/stairquay/core/routing.py
@@ -12,18 +12,18 @@
 """Number of endpoints up to which all are compared."""
 
 SAMPLE_SIZE = 8
-"""Random endpoints compared beyond that number, besides all that cache part of the prompt."""
+"""Random endpoints compared beyond that, besides all that cache part of the prompt."""
 
 TIE_TOLERANCE = 0.02
-"""Relative cost difference within which the choice is random, so that routers do not pick alike."""
+"""Relative cost difference within which the choice is random, to spread the load."""
 
 IMPORT_SETUP_S = 0.01
-"""Fixed time of one import, besides the transfer of its bytes."""
+"""Fixed time of one import."""
 
 
 @dataclass(frozen=True)
 class StoredRun:
-    """Blocks in one store box that follow an engine's resident ones, with its link's wait and speed."""
+    """Blocks in a store box that follow an engine's resident ones, and the state of its link."""
 
     store: str
     blocks: tuple[StoredBlock, ...]
@@ -35,9 +35,8 @@
 class Candidate:
     """State of one endpoint with respect to one prompt.
 
-    running: active runs
-    resident_blocks: leading blocks of the prompt that the engine caches
-    kept: following blocks that store boxes hold
+    resident_blocks: leading blocks that the engine caches
+    stored: following blocks in store boxes
     loading_s: seconds to load the weights, 0 if they are loaded
     """
 
@@ -52,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """Size of a prompt in tokens, and its cost weight from 0 (recomputed tokens) to 1 (time)."""
+    """Size of a prompt, and its cost weight from 0 (recomputed tokens) to 1 (time)."""
 
     tokens: int
     time_weight: float
@@ -85,7 +84,7 @@
 def choose(
     demand: Demand, candidates: Sequence[Candidate], costs: EngineCosts, random: Random
 ) -> Decision | None:
-    """Return the cheapest decision over all compared candidates and their import options."""
+    """Return the cheapest decision over candidates and imports."""
     compared = _sample_candidates(candidates, random)
     decisions = [cheapest_option(demand, candidate, costs) for candidate in compared]
     if not decisions:
@@ -97,7 +96,7 @@
     """Return the cheapest option for running a prompt at one candidate.
 
     Cost is piecewise linear in the number of imported blocks, since an import overlaps with the queue
-    wait. So only its breakpoints are compared: no import, what fits into the wait, and all blocks.
+    wait: no import, what fits into the wait, and all blocks are compared.
     """
     options = [_predict(demand, candidate, costs, None, ())]
     for run in candidate.stored:
@@ -107,7 +106,7 @@
 
 
 def import_time_s(run: StoredRun, blocks: int, costs: EngineCosts) -> float:
-    """Return the seconds to import a number of blocks, with the wait for the link."""
+    """Return the seconds to wait for the link and import a number of blocks."""
     return run.link_wait_s + IMPORT_SETUP_S + blocks * block_bytes(costs) / run.link_bytes_s
 
 
@@ -157,7 +156,7 @@
 
 
 DECODE_STEPS_PER_EXTRA_RUN = 8
-"""Estimated decode steps that a prompt waits per run beyond an engine's slots."""
+"""Estimated wait in decode steps per run beyond an engine's slots."""
 
 
 def _sample_candidates(candidates: Sequence[Candidate], random: Random) -> Sequence[Candidate]:
@@ -217,4 +216,4 @@
     "least-loaded": lambda: least_loaded,
     "prefix-affinity": lambda: prefix_affinity,
 }
-"""Routing policies by their name in the settings; all but the first are baselines for benchmarks."""
+"""Routing policies by name in the settings; all but the first are baselines for benchmarks."""
