--- a/stairquay/core/plan.py
+++ b/stairquay/core/plan.py
@@ -350,7 +350,7 @@
 def _warnings(changes: list[Change], after: Configuration) -> list[str]:
     found = []
     if not changes:
-        found.append("no changes: the configuration already matches the intents")
+        found.append("nothing changes: the configuration already says so")
     for change in changes:
         if change.after is None:
             found.append(f"{change.key} will be deleted")
