--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -104,14 +104,14 @@
     "full_pause": Switch(
         "leaving an endpoint alone that turned a request away",
         SERVING + "state.py",
-        "FULL_PAUSE_S = 0.25",
-        "FULL_PAUSE_S = 0.0",
+        "BUSY_BACKOFF_S = 0.25",
+        "BUSY_BACKOFF_S = 0.0",
     ),
     "silent": Switch(
         "choosing engines last whose reports stopped",
         SERVING + "state.py",
-        "SILENT_AFTER = 2.5",
-        "SILENT_AFTER = 1e9",
+        "MAX_MISSED_REPORTS = 2.5",
+        "MAX_MISSED_REPORTS = 1e9",
     ),
 }
 
--- a/stairquay/serving/choosing.py
+++ b/stairquay/serving/choosing.py
@@ -152,7 +152,7 @@
 def _least_busy(state: BoxState, candidates: Sequence[Endpoint], now: float, random: Random) -> Endpoint:
     def cost(endpoint: Endpoint) -> tuple[float, bool, float]:
         held = state.of(endpoint)
-        waits = (held.in_flight + 1) * held.work_s + held.failing_share(now)
+        waits = (held.in_flight + 1) * held.response_time_s + held.current_failure_rate(now)
         return round(waits, 3), endpoint.data_hall != state.settings.data_hall, random.random()
 
     return min(candidates, key=cost)
--- a/stairquay/serving/cold.py
+++ b/stairquay/serving/cold.py
@@ -28,7 +28,7 @@
         return 0.0
     held = state.of(endpoint)
     until = held.cold_until
-    if held.doubted_at > NEVER:
-        until = max(until, held.doubted_at + limit.start_s)
+    if held.unreachable_at > NEVER:
+        until = max(until, held.unreachable_at + limit.start_s)
     returned_at = state.returned_at_by_hall.get(endpoint.data_hall, NEVER)
     return max(0.0, max(until, returned_at + RETURN_CAUTION_S) - now)
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -14,7 +14,7 @@
 from stairquay.serving.asking import Chooser
 from stairquay.serving.choosing import Choice
 from stairquay.serving.crashes import CrashWatch
-from stairquay.serving.endpoint import FULL_PAUSE_S
+from stairquay.serving.endpoint import BUSY_BACKOFF_S
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.messages import Outcome
@@ -159,7 +159,7 @@
         counted = choice.router == self.state.settings.id
         held.in_flight += not counted
         if choice.placement is not None and not counted:
-            held.unread_tokens_by_request[job.call.id] = choice.placement.read
+            held.waiting_tokens_by_request[job.call.id] = choice.placement.read
             held.on_sent(choice.placement.read + choice.placement.fetched, begun.sent_at)
         note_tried(held, begun.sent_at)
         record_sent(self.state, job, choice, progress)
@@ -173,7 +173,7 @@
             return await self._relay(job, begun, progress, sent.ok_value, request)
         finally:
             held.in_flight -= not counted
-            held.unread_tokens_by_request.pop(job.call.id, None)
+            held.waiting_tokens_by_request.pop(job.call.id, None)
 
     def _take_statement(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
         """Take in what an answer's head says of its endpoint, before any of it is passed on."""
@@ -267,7 +267,7 @@
         if begun.first_at is not None:
             return
         begun.first_at = monotonic()
-        begun.held.unread_tokens_by_request.pop(job.call.id, None)
+        begun.held.waiting_tokens_by_request.pop(job.call.id, None)
         record_first(self.state, job, begun.first_at)
         placement = begun.choice.placement
         if placement is None or job.call.prompt is None:
@@ -283,13 +283,13 @@
         progress.tried.add(begun.choice.endpoint.id)
         if failure.ran == Ran.NOT_RUN:
             progress.refused += 1
-            begun.held.refused_until = now + FULL_PAUSE_S
+            begun.held.refused_until = now + BUSY_BACKOFF_S
         else:
             progress.runs += 1
         if _speaks_against(failure):
             begun.held.on_outcome(True, now)
             if _unreached(failure):
-                begun.held.doubted_at = now
+                begun.held.unreachable_at = now
         if failure.broke:
             self.crashes.broke(job, begun, progress.stream.events)
         record_failed(self.state, job, begun, failure, now)
@@ -299,7 +299,7 @@
         if reply.status < SERVER_ERROR:
             self.state.quarantine.served(job.digest)
         begun.held.on_outcome(False, now)
-        begun.held.work_s += WORK_WEIGHT * ((now - begun.sent_at) - begun.held.work_s)
+        begun.held.response_time_s += WORK_WEIGHT * ((now - begun.sent_at) - begun.held.response_time_s)
         if reply.version is not None:
             begun.held.version = max(begun.held.version, reply.version)
         record_answered(self.state, job, begun, reply, progress, now)
--- a/stairquay/serving/pacing.py
+++ b/stairquay/serving/pacing.py
@@ -120,7 +120,7 @@
     if bounds:
         return own_per_s(state, endpoint, bounds)
     boxes = 1 if endpoint.id in state.routed_engines else max(1, len(state.boxes))
-    return endpoint.slots / max(LEAST_WORK_S, state.of(endpoint).work_s) / boxes
+    return endpoint.slots / max(LEAST_WORK_S, state.of(endpoint).response_time_s) / boxes
 
 
 def _pause_s(state: BoxState, endpoint: Endpoint, now: float, chance: Random) -> float:
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -22,7 +22,7 @@
 from stairquay.serving.cold import cold_for_s
 from stairquay.serving.crash_rows import STALE_S
 from stairquay.serving.decisions import Decision
-from stairquay.serving.endpoint import FULL_PAUSE_S, EndpointState
+from stairquay.serving.endpoint import BUSY_BACKOFF_S, EndpointState
 from stairquay.serving.links import Answers, serve
 from stairquay.serving.messages import (
     CrashesTold,
@@ -173,13 +173,13 @@
         held, now = placed.held, monotonic()
         held.in_flight = max(0, held.in_flight - 1)
         if ended.outcome in (Outcome.NOT_SENT, Outcome.TURNED_AWAY, Outcome.UNREACHED):
-            held.take_back(placed.reading_s, placed.tokens, placed.at)
+            held.revert_placed(placed.reading_s, placed.tokens, placed.at)
             if placed.paced and ended.outcome != Outcome.TURNED_AWAY:
                 take_back(held)
         if ended.outcome == Outcome.TURNED_AWAY:
-            held.refused_until = now + FULL_PAUSE_S
+            held.refused_until = now + BUSY_BACKOFF_S
         if ended.outcome == Outcome.UNREACHED:
-            held.doubted_at = now
+            held.unreachable_at = now
         if ended.outcome in (Outcome.DONE, Outcome.FAILED, Outcome.UNREACHED):
             held.on_outcome(ended.outcome != Outcome.DONE, now)
 
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -330,7 +330,11 @@
         now = monotonic()
         for endpoint_id in list(self.endpoints_by_id):
             state = self.endpoints_by_id[endpoint_id]
-            if endpoint_id not in self.fleet.by_id and state.in_flight == 0 and not state.bound(now):
+            if (
+                endpoint_id not in self.fleet.by_id
+                and state.in_flight == 0
+                and not state.has_active_limits(now)
+            ):
                 del self.endpoints_by_id[endpoint_id]
                 self.limited.discard(endpoint_id)
                 self.resting.discard(endpoint_id)
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -90,7 +90,7 @@
     """
     boxes = len(state.boxes)
     before = sum(other < state.settings.id for other in state.boxes)
-    spread_s = min(rest_s, boxes * held.work_s / endpoint.slots)
+    spread_s = min(rest_s, boxes * held.response_time_s / endpoint.slots)
     return spread_s * before / max(1, boxes)
 
 
@@ -148,7 +148,7 @@
             continue
         wait_s = held.rest.wait_s(now)
         if wait_s > 0:
-            rests_s[name] = wait_s if now < held.rest.until else min(wait_s, held.work_s)
+            rests_s[name] = wait_s if now < held.rest.until else min(wait_s, held.response_time_s)
     return rests_s
 
 
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -10,7 +10,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.catalog import Catalog
 from stairquay.serving.decisions import Decision
-from stairquay.serving.endpoint import REPORT_S
+from stairquay.serving.endpoint import REPORT_INTERVAL_S
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import take_leaving
@@ -121,11 +121,11 @@
                     take_leaving(self.state, endpoint.id, report.born or endpoint.born, "report")
                 self._take_clock(report.clock_ms)
             elif endpoint is not None:
-                self.state.of(endpoint).doubted_at = monotonic()
+                self.state.of(endpoint).unreachable_at = monotonic()
             await asyncio.sleep(self._report_pause_s(endpoint_id))
 
     def _report_pause_s(self, endpoint_id: str) -> float:
-        return REPORT_S if endpoint_id in self.state.routed_engines else FOREIGN_REPORT_S
+        return REPORT_INTERVAL_S if endpoint_id in self.state.routed_engines else FOREIGN_REPORT_S
 
     async def _watch_engine(self, address: str) -> None:
         position = 0
--- a/stairquay/serving/weighing.py
+++ b/stairquay/serving/weighing.py
@@ -39,7 +39,7 @@
         resident=tuple(state.holdings.tokens(endpoint.address, scope, part.id) for part in prompt.parts),
         waiting_tokens=_waiting_tokens(state, endpoint, held, now),
         running=_running(state, endpoint, held),
-        failing=held.failing_share(now),
+        failing=held.current_failure_rate(now),
         outdated=outdated,
         here=endpoint.data_hall == state.settings.data_hall,
         familiar=familiar is None or endpoint.id in familiar,
@@ -65,8 +65,8 @@
 def _waiting_tokens(state: BoxState, endpoint: Endpoint, held: EndpointState, now: float) -> float:
     """Return the prompt tokens that an engine has yet to read."""
     if endpoint.id in state.routed_engines:
-        return max(0.0, held.read_until - now) * PREFILL_TOKENS_S
-    return sum(held.unread_tokens_by_request.values())
+        return max(0.0, held.prefill_until - now) * PREFILL_TOKENS_S
+    return sum(held.waiting_tokens_by_request.values())
 
 
 def _waiting_memory(report: EngineReport | None) -> float:
--- a/tests/loads/test_rests_that_end.py
+++ b/tests/loads/test_rests_that_end.py
@@ -34,7 +34,7 @@
     state = box_state(f"b-{number:03}")
     apply_endpoints(state, EndpointChanges(1, True, (endpoint,)), 0.0)
     state.boxes, state.boxes_known_at = tuple(f"b-{other:03}" for other in range(boxes)), 0.0
-    state.of(endpoint).work_s = work_s
+    state.of(endpoint).response_time_s = work_s
     return state
 
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -62,7 +62,7 @@
 def test_all_that_was_believed_of_an_endpoint_goes_with_its_life():
     state = state_with(ENGINE)
     held = state.of(ENGINE)
-    held.in_flight, held.version, held.failing = 7, 4, 0.9
+    held.in_flight, held.version, held.failure_rate = 7, 4, 0.9
     held.on_report(EngineReport({"m": 4}, running=5, used_tokens=9_000, total_tokens=10_000), monotonic())
     state.holdings.expect(ENGINE.address, "/m/4", "aa", 500)
     listed(state, replace(ENGINE, born=2_000, sequence=1))
@@ -70,7 +70,7 @@
     assert (
         anew is not held
         and anew.report is None
-        and (anew.in_flight, anew.version, anew.failing) == (0, 0, 0.0)
+        and (anew.in_flight, anew.version, anew.failure_rate) == (0, 0, 0.0)
     )
     assert not state.holdings.holders("/m/4", "aa")
     assert state.version_of(state.fleet.by_id["e"], "m") == 1
@@ -121,7 +121,7 @@
     assert place(part, "new") == "e"
     part.finished(Ended("old", Outcome.FAILED))
     anew = state.of(ENGINE)
-    assert anew.in_flight == 1 and anew.failing == 0.0
+    assert anew.in_flight == 1 and anew.failure_rate == 0.0
 
 
 def test_an_order_that_the_last_life_took_does_not_hold_up_the_next_one():
@@ -138,7 +138,7 @@
 def test_an_endpoint_that_was_not_reached_counts_as_cold_until_it_says_that_it_is_the_same():
     state = state_with(ENGINE)
     assert cold_for_s(state, ENGINE, monotonic()) == 0
-    state.of(ENGINE).doubted_at = monotonic()
+    state.of(ENGINE).unreachable_at = monotonic()
     assert cold_for_s(state, ENGINE, monotonic()) > START_S - 0.1
     state.take_report(ENGINE, EngineReport(born=ENGINE.born), monotonic())
     assert cold_for_s(state, ENGINE, monotonic()) == 0
