--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -222,7 +222,7 @@
 def _measure_halls(state: BoxState) -> None:
     """Set the metrics of evacuated data halls, cold endpoints, and what endpoints say of their use."""
     metrics, now = state.metrics, monotonic()
-    for hall in state.evacuated | state.returned_at_by_hall.keys():
+    for hall in state.evacuated | state.evacuation_ended_at_by_hall.keys():
         metrics.evacuated.labels(hall).set(hall in state.evacuated)
     metrics.cold.clear()
     metrics.limits.clear()
@@ -232,7 +232,7 @@
         left_s = cold_for_s(state, endpoint, now)
         if left_s > 0:
             metrics.cold.labels(endpoint.id).set(left_s)
-        per_s = limit_of(state.of(endpoint))
+        per_s = limit_of(state.endpoint_state(endpoint))
         if per_s < UNLIMITED:
             metrics.limits.labels(endpoint.id).set(per_s)
         if endpoint.leaving:
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -168,7 +168,7 @@
         if endpoint is None:
             return reply.endpoint in state.fleet.leaving_by_id
         by_router = UNLIMITED if reply.said is None else reply.said.per_s
-        if limit_of(state.of(endpoint)) < by_router or state.fleet.leaves(endpoint):
+        if limit_of(state.endpoint_state(endpoint)) < by_router or state.fleet.leaves(endpoint):
             return True
         return endpoint.id in rests_of(state, now)
 
@@ -189,7 +189,7 @@
             return None
         if not takes_work(self.state, usable):
             return None
-        too_old = self.state.too_old(prompt.model, reply.version or 0, reply.first_token_s)
+        too_old = self.state.version_too_old(prompt.model, reply.version or 0, reply.first_token_s)
         return None if too_old else usable
 
     def _choose_here(self, job: Job, progress: Progress) -> Choice | None:
--- a/stairquay/serving/boxes.py
+++ b/stairquay/serving/boxes.py
@@ -85,7 +85,7 @@
                 self._take(found.ok_value)
             if not await self._write():
                 await asyncio.sleep(AGAIN_S)
-            if not self.state.namings_learned:
+            if not self.state.version_history_known:
                 continue
             pause_s = self._pause_s() * (1 + JITTER * (self.random.random() - 0.5))
             await self.state.changed.until(self._has_news, pause_s)
@@ -132,7 +132,7 @@
             return False
         self.beat += 1
         key = PREFIX + self.state.settings.id
-        named = dict(self.state.named_by_model)
+        named = dict(self.state.target_version_by_model)
         value = msgspec.json.encode(self._heartbeat(offset)).decode()
         answer = await self.own.commit(Commit("", (Condition(key, self.revision),), (Write(key, value),)))
         written = not isinstance(answer, Err) and isinstance(answer.ok_value, Committed)
@@ -152,7 +152,7 @@
             member.data_hall,
             tuple(
                 NamedVersion(model, sight.version, offset.theirs(sight.at))
-                for model, history in self.state.namings_by_model.items()
+                for model, history in self.state.version_history_by_model.items()
                 for sight in history.sights
             ),
             None if viewed_at is None else offset.theirs(viewed_at),
@@ -161,7 +161,7 @@
     def _has_news(self) -> bool:
         """Tell whether a version was named that boxes which start could not learn of from rows. Only boxes
         that follow the table service themselves write ahead of time: a few rows are enough."""
-        return self.state.follows and self.state.named_by_model != self.named_told
+        return self.state.is_follower and self.state.target_version_by_model != self.named_told
 
     def _learn_named(self, rows: tuple[Row, ...]) -> None:
         """Take from rows, also those of boxes that are gone, when versions were named."""
@@ -173,17 +173,17 @@
         for row in rows:
             beat = _heartbeat(row)
             for named in beat.named:
-                if self.state.saw_named(named.model, named.version):
+                if self.state.saw_version_change(named.model, named.version):
                     # What this box saw is sound. A box that was held up for long tells a needlessly early
                     # time, for which prompts were refused for up to seven seconds.
                     continue
                 named_at = min(now, offset.ours(named.at_s))
-                self.state.note_named(named.model, named.version, named_at, row.key)
+                self.state.record_target_version(named.model, named.version, named_at, row.key)
             if beat.viewed_at_s is not None:
                 views_at.append(min(now, offset.ours(beat.viewed_at_s)))
-        if views_at and not self.state.namings_learned:
-            self.state.note_view_before_start(max(views_at))
-        self.state.namings_learned = True
+        if views_at and not self.state.version_history_known:
+            self.state.record_view_before_start(max(views_at))
+        self.state.version_history_known = True
 
 
 def _member(row: Row) -> Member:
--- a/stairquay/serving/choosing.py
+++ b/stairquay/serving/choosing.py
@@ -85,7 +85,9 @@
     prompt, engine = wanted.prompt, wanted.service.engine
     if prompt is not None:
         model = prompt.model
-        candidates = [item for item in candidates if not state.too_old(model, state.version_of(item, model))]
+        candidates = [
+            item for item in candidates if not state.version_too_old(model, state.version_of(item, model))
+        ]
     if not candidates:
         return None
     if prompt is None or engine is None:
@@ -114,7 +116,7 @@
     def has_connection(item: Endpoint) -> bool:
         # A router counts what all boxes have under way at its engines, else a box counts its own.
         boxes = 1 if item.id in state.routed_engines else max(1, len(state.boxes))
-        return state.of(item).in_flight < max(2, int(most / boxes))
+        return state.endpoint_state(item).in_flight < max(2, int(most / boxes))
 
     staying = [item for item in state.fleet.usable(service.id, now) if takes_work(state, item)]
     awake = [item for item in staying if item.id not in wanted.rests_s]
@@ -122,8 +124,10 @@
     fresh = [item for item in usable if item.id not in tried]
     if tried and not fresh:
         return []
-    open_ones = [item for item in fresh if state.of(item).refused_until <= now and not _closed(state, item)]
-    heard = [item for item in open_ones if not state.of(item).silent(now)]
+    open_ones = [
+        item for item in fresh if state.endpoint_state(item).refused_until <= now and not _closed(state, item)
+    ]
+    heard = [item for item in open_ones if not state.endpoint_state(item).silent(now)]
     return heard or open_ones or fresh
 
 
@@ -145,13 +149,13 @@
 
 
 def _closed(state: BoxState, endpoint: Endpoint) -> bool:
-    report = state.of(endpoint).report
+    report = state.endpoint_state(endpoint).report
     return report is not None and report.busy
 
 
 def _least_busy(state: BoxState, candidates: Sequence[Endpoint], now: float, random: Random) -> Endpoint:
     def cost(endpoint: Endpoint) -> tuple[float, bool, float]:
-        held = state.of(endpoint)
+        held = state.endpoint_state(endpoint)
         waits = (held.in_flight + 1) * held.response_time_s + held.current_failure_rate(now)
         return round(waits, 3), endpoint.data_hall != state.settings.data_hall, random.random()
 
@@ -191,7 +195,9 @@
 
     found = place(prompt.parts, prompt.tokens, views, source_of, engine.bytes_per_token)
     return [
-        item for item in found if not state.too_old(model, versions[item.engine.address], item.first_token_s)
+        item
+        for item in found
+        if not state.version_too_old(model, versions[item.engine.address], item.first_token_s)
     ]
 
 
--- a/stairquay/serving/cold.py
+++ b/stairquay/serving/cold.py
@@ -26,9 +26,9 @@
     limit = cold_limit_of(state, endpoint)
     if limit is None:
         return 0.0
-    held = state.of(endpoint)
+    held = state.endpoint_state(endpoint)
     until = held.cold_until
     if held.unreachable_at > NEVER:
         until = max(until, held.unreachable_at + limit.start_s)
-    returned_at = state.returned_at_by_hall.get(endpoint.data_hall, NEVER)
+    returned_at = state.evacuation_ended_at_by_hall.get(endpoint.data_hall, NEVER)
     return max(0.0, max(until, returned_at + RETURN_CAUTION_S) - now)
--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -94,7 +94,7 @@
             await asyncio.sleep(READ_PAUSE_S)
 
     def _has_to_follow(self) -> bool:
-        return self.state.follows or not self.state.quarantine.router_tells
+        return self.state.is_follower or not self.state.quarantine.router_tells
 
     def _apply(self, changes: Changes, whole: bool) -> None:
         offset = self.table.clock_offset()
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -67,7 +67,7 @@
 
     async def run(self, job: Job, request: web.Request) -> Result[web.StreamResponse, Refusal]:
         """Run a job to its end, and return the answer that was given or is to be given."""
-        self.state.budget(job.service.id).on_request(monotonic())
+        self.state.retry_budget(job.service.id).on_request(monotonic())
         progress = Progress()
         while True:
             refusal = self._may_go_on(job, progress)
@@ -127,7 +127,7 @@
         prompt = job.call.prompt
         if prompt is None or choice.placement is None:
             return False
-        return self.state.too_old(prompt.model, choice.version or 0, choice.placement.first_token_s)
+        return self.state.version_too_old(prompt.model, choice.version or 0, choice.placement.first_token_s)
 
     def _may_repeat(self, job: Job, progress: Progress) -> Refusal | None:
         """Return why a failed job is not sent again, None where it is."""
@@ -142,7 +142,7 @@
                 return refusal
         elif progress.refused >= MAX_REFUSED:
             return refusal
-        if not self.state.take_repeat(job.service.id):
+        if not self.state.take_retry(job.service.id):
             record_not_repeated(self.state, job)
             return refusal
         self.state.metrics.repeats.labels(job.service.id).inc()
@@ -153,7 +153,7 @@
     ) -> web.StreamResponse | None:
         """Make one attempt. Return the caller's response, or None where it failed (`progress.last`)."""
         attempt = Attempt(job.call.id, choice.endpoint.id)
-        held = self.state.of(choice.endpoint)
+        held = self.state.endpoint_state(choice.endpoint)
         begun = Begun(choice, attempt, held, monotonic())
         # A router has already counted what it placed itself.
         counted = choice.router == self.state.settings.id
@@ -223,7 +223,7 @@
                     progress.stream,
                     job.deadline,
                     on_first=lambda: self._on_first(job, begun),
-                    last_on_connection=self.state.turns_away,
+                    last_on_connection=self.state.should_close_connections,
                 )
                 response = progress.stream.response
                 assert response is not None
--- a/stairquay/serving/evacuation.py
+++ b/stairquay/serving/evacuation.py
@@ -21,7 +21,7 @@
     kept = frozenset() if changes.whole else before - set(changes.returned)
     state.evacuated = kept | set(changes.evacuated)
     for hall in sorted(before - state.evacuated):
-        state.returned_at_by_hall[hall] = monotonic()
+        state.evacuation_ended_at_by_hall[hall] = monotonic()
         _log(state, hall, "returned", changes.revision)
     for hall in sorted(state.evacuated - before):
         _log(state, hall, "evacuated", changes.revision)
--- a/stairquay/serving/following.py
+++ b/stairquay/serving/following.py
@@ -79,7 +79,7 @@
         apply_endpoints(state, changes, asked_at)
 
     def unreached() -> None:
-        state.list_unreached_at = monotonic()
+        state.list_unreachable_at = monotonic()
 
     await _follow(
         state,
@@ -89,7 +89,7 @@
             follow=feeds.follow_endpoints,
             apply=apply,
             unreached=unreached,
-            whole_now=lambda: bool(state.fleet.missing_since_by_id) and not state.list_passed_on,
+            whole_now=lambda: bool(state.fleet.missing_since_by_id) and not state.list_from_router,
             whole_s=LIST_WHOLE_S,
             pause_s=lambda: _list_pause_s(state),
         ),
@@ -124,7 +124,7 @@
     while True:
         asked_at = monotonic()
         whole = revision is None or followed.whole_now() or asked_at - read_at > followed.whole_s
-        wait_s = ROUTER_WAIT_S if state.follows else WAIT_S
+        wait_s = ROUTER_WAIT_S if state.is_follower else WAIT_S
         answer = await (followed.read() if whole or revision is None else followed.follow(revision, wait_s))
         outcome = answer.err_value.value if isinstance(answer, Err) else "ok"
         state.metrics.table_calls.labels(followed.name, outcome).inc()
@@ -147,15 +147,15 @@
 
 def again_s(state: BoxState, missed: int) -> float:
     """Return the pause before a call to the table service is made again after so many without an answer."""
-    beside_routers = bool(state.routers) and not state.follows
+    beside_routers = bool(state.routers) and not state.is_follower
     return ROUTED_AGAIN_S if beside_routers and missed > SINGLE_MISSES else AGAIN_S
 
 
 def _list_pause_s(state: BoxState) -> float:
     """Return the pause before the list is asked for again. A router that is asked holds the question."""
-    if state.list_passed_on:
+    if state.list_from_router:
         return 0.0
-    return ROUTER_LIST_PAUSE_S if state.follows else LIST_PAUSE_S
+    return ROUTER_LIST_PAUSE_S if state.is_follower else LIST_PAUSE_S
 
 
 def apply_operators(state: BoxState, changes: OperatorChanges, asked_at: float) -> None:
@@ -167,17 +167,17 @@
     if changes.catalog is not None:
         _put_in_force(state, changes.catalog)
     if state.view_asked_at == NEVER:
-        state.named_at_start = dict(changes.versions_by_model)
+        state.target_versions_at_start = dict(changes.versions_by_model)
     # A version may have been named as soon as the last view was asked for that did not show it.
     last_view_at = state.last_view_at()
     named_at = monotonic() if last_view_at is None else last_view_at
     for model, version in changes.versions_by_model.items():
-        if version > state.named_by_model.get(model, 0):
-            state.named_by_model[model] = version
-            state.note_named(model, version, named_at, "operators")
+        if version > state.target_version_by_model.get(model, 0):
+            state.target_version_by_model[model] = version
+            state.record_target_version(model, version, named_at, "operators")
     after = _operators_view(state)
     if before != after:
-        state.operators_changed = changes.revision
+        state.operators_changed_revision = changes.revision
     state.operators_revision = changes.revision
     state.view_asked_at = max(state.view_asked_at, asked_at - changes.behind_s)
     if before != after:
@@ -186,7 +186,7 @@
 
 def _operators_view(state: BoxState) -> tuple[int | None, dict[str, int], frozenset[str]]:
     version = None if state.catalog is None else state.catalog.version
-    return version, dict(state.named_by_model), state.evacuated
+    return version, dict(state.target_version_by_model), state.evacuated
 
 
 def _put_in_force(state: BoxState, catalog: Catalog) -> None:
@@ -217,13 +217,13 @@
         state.fleet.apply(changes.present, changes.gone, now, gone_since)
     state.list_asked_at = asked_at - changes.behind_s
     if not state.fleet_known or state.fleet.live() != listed:
-        state.list_changed = changes.revision
+        state.list_changed_revision = changes.revision
     state.list_revision = changes.revision
     state.fleet_known = True
-    state.forget_gone()
+    state.drop_removed_endpoints()
     _take_cold(state, changes, now)
     _tell_unreadable(state, changes)
-    if state.list_changed == state.list_revision:
+    if state.list_changed_revision == state.list_revision:
         state.changed.happened()
     after = _standing(state)
     for endpoint_id, standing in after.items():
@@ -238,7 +238,7 @@
 def _take_cold(state: BoxState, changes: EndpointChanges, now: float) -> None:
     """Take in how long endpoints say that they are cold."""
     for endpoint in changes.present:
-        held = state.of(endpoint)
+        held = state.endpoint_state(endpoint)
         if endpoint.born >= held.born:
             held.cold_until = now + endpoint.cold_s if endpoint.cold else NEVER
 
@@ -263,7 +263,7 @@
     since and did not answer, the entry may have lapsed for that alone, and is given time from now on to come
     back: else all endpoints would vanish at once after an outage. A router's silence is no outage.
     """
-    return now if state.list_unreached_at > state.list_asked_at else state.list_asked_at
+    return now if state.list_unreachable_at > state.list_asked_at else state.list_asked_at
 
 
 def _standing(state: BoxState) -> dict[str, str]:
--- a/stairquay/serving/front.py
+++ b/stairquay/serving/front.py
@@ -72,7 +72,7 @@
         if isinstance(outcome, Err):
             return self._refuse(call.id, outcome.err_value, arrived_at)
         response = outcome.ok_value
-        if self.state.turns_away() and not response.prepared:
+        if self.state.should_close_connections() and not response.prepared:
             response.force_close()
         return response
 
@@ -184,6 +184,6 @@
             took_s=monotonic() - arrived_at,
         )
         response = self.callers.refuse(call_id, refusal)
-        if self.state.turns_away():
+        if self.state.should_close_connections():
             response.force_close()
         return response
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -53,7 +53,7 @@
     async def ping_others(self) -> None:
         """While this box is a router, have every other one sent a notice, even where nothing has ended."""
         while True:
-            await self.state.changed.until(lambda: self.state.routes)
+            await self.state.changed.until(lambda: self.state.is_router)
             self._ping()
             await asyncio.sleep(PING_S)
 
--- a/stairquay/serving/orders.py
+++ b/stairquay/serving/orders.py
@@ -60,7 +60,7 @@
             self._forget_old_lives()
             within_s = self.state.settings.versions_within_s
             orders = next_orders(
-                self._engines(), self.state.named_by_model, self.given, monotonic(), within_s
+                self._engines(), self.state.target_version_by_model, self.given, monotonic(), within_s
             )
             if orders and await self._lead():
                 self._give(orders)
@@ -86,13 +86,13 @@
         Engines never go back to older weights, so that only a change of the list or a newly named version
         can leave one behind.
         """
-        if not self.state.routes or self.state.stopping:
+        if not self.state.is_router or self.state.stopping:
             return []
         engines = self._engines()
-        return engines if outdated(engines, self.state.named_by_model) else []
+        return engines if outdated(engines, self.state.target_version_by_model) else []
 
     def _behind(self, engines: list[EngineState]) -> list[str]:
-        return [engine.id for engine in outdated(engines, self.state.named_by_model)]
+        return [engine.id for engine in outdated(engines, self.state.target_version_by_model)]
 
     def _report_age_s(self, engine: str) -> float:
         held = self.state.endpoints_by_id.get(engine)
@@ -101,7 +101,7 @@
     async def _ask(self, endpoint: Endpoint) -> None:
         report = await self.peers.report(endpoint.address)
         if report is not None:
-            self.state.take_report(endpoint, report, monotonic())
+            self.state.apply_report(endpoint, report, monotonic())
 
     def _engines(self) -> list[EngineState]:
         """Return the engines that take orders, a state for each model."""
@@ -118,7 +118,7 @@
         return found
 
     def _engine(self, endpoint: Endpoint, model: str) -> EngineState:
-        held = self.state.of(endpoint)
+        held = self.state.endpoint_state(endpoint)
         report = held.report
         version = self.state.version_of(endpoint, model)
         replaced_s = self.state.replaced_for_s(model, version)
--- a/stairquay/serving/pacing.py
+++ b/stairquay/serving/pacing.py
@@ -34,7 +34,7 @@
 def bounds_of(state: BoxState, endpoint: Endpoint, now: float) -> list[Bound]:
     """Return what bounds the work of an endpoint now; nothing does usually."""
     bounds = []
-    named = limit_of(state.of(endpoint))
+    named = limit_of(state.endpoint_state(endpoint))
     if named < UNLIMITED:
         bounds.append(Bound(max(LEAST_PER_S, named), LIMIT_SHARES))
     cold = cold_limit_of(state, endpoint)
@@ -105,12 +105,14 @@
     if soonest_s is None:
         return None
     per_s = sum(_returning_per_s(state, item, bounds_by_id.get(item.id)) for item in held_back)
-    told_s = max(soonest_s, state.come_back_at_by_service.get(service, NEVER) - now)
-    only_cold = all(limit_of(state.of(item)) == UNLIMITED and item.id not in rests_s for item in held_back)
+    told_s = max(soonest_s, state.retry_at_by_service.get(service, NEVER) - now)
+    only_cold = all(
+        limit_of(state.endpoint_state(item)) == UNLIMITED and item.id not in rests_s for item in held_back
+    )
     most_s = max(soonest_s, COLD_RETRY_S) if only_cold else soonest_s + SPREAD_S
     if told_s > most_s:
         return most_s if only_cold else soonest_s + SPREAD_S * chance.random()
-    state.come_back_at_by_service[service] = now + told_s + 1 / per_s
+    state.retry_at_by_service[service] = now + told_s + 1 / per_s
     return told_s
 
 
@@ -120,13 +122,13 @@
     if bounds:
         return own_per_s(state, endpoint, bounds)
     boxes = 1 if endpoint.id in state.routed_engines else max(1, len(state.boxes))
-    return endpoint.slots / max(LEAST_WORK_S, state.of(endpoint).response_time_s) / boxes
+    return endpoint.slots / max(LEAST_WORK_S, state.endpoint_state(endpoint).response_time_s) / boxes
 
 
 def _pause_s(state: BoxState, endpoint: Endpoint, now: float, chance: Random) -> float:
     """Return the seconds until an endpoint takes a request of this box: a cold one may be warm before."""
     pause_s = wait_s(state, endpoint, now, chance)
-    if limit_of(state.of(endpoint)) < UNLIMITED:
+    if limit_of(state.endpoint_state(endpoint)) < UNLIMITED:
         return pause_s
     return min(pause_s, cold_for_s(state, endpoint, now), COLD_RETRY_S)
 
@@ -140,13 +142,13 @@
 
 
 def _router_pace(state: BoxState, endpoint: Endpoint, now: float) -> Pace:
-    held = state.of(endpoint)
+    held = state.endpoint_state(endpoint)
     if held.router_pace is None:
         held.router_pace = Pace(now)
     return held.router_pace
 
 
 def _alone_pace(state: BoxState, endpoint: Endpoint, now: float, per_s: float, chance: Random) -> Pace:
-    held = state.of(endpoint)
+    held = state.endpoint_state(endpoint)
     held.alone_pace = pace_alone(held.alone_pace, now, per_s, chance)
     return held.alone_pace
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -38,9 +38,9 @@
         "left_s": job.deadline - monotonic(),
         "view_age_s": state.view_age(),
         "configuration": job.catalog.version,
-        "in_flight": state.of(choice.endpoint).in_flight,
+        "in_flight": state.endpoint_state(choice.endpoint).in_flight,
     }
-    limit_per_s = limit_of(state.of(choice.endpoint))
+    limit_per_s = limit_of(state.endpoint_state(choice.endpoint))
     if limit_per_s < UNLIMITED:
         inputs["limit_per_s"] = limit_per_s
     if choice.placement is not None:
@@ -59,7 +59,7 @@
         "reused": placement.reused,
         "fetched": placement.fetched,
         "read": placement.read,
-        "report_age_s": monotonic() - state.of(choice.endpoint).reported_at,
+        "report_age_s": monotonic() - state.endpoint_state(choice.endpoint).reported_at,
         "resident": placement.engine.resident,
         "fetch": placement.fetch_from,
         "used": placement.engine.used_tokens,
@@ -107,7 +107,7 @@
 
 def record_not_repeated(state: BoxState, job: Job) -> None:
     """Log that a failed job is not sent again because the budget for that is spent."""
-    budget = state.budget(job.service.id)
+    budget = state.retry_budget(job.service.id)
     state.log.line(
         Decision.ATTEMPT_FAILED,
         job.call.id,
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -96,10 +96,10 @@
         try:
             while True:
                 await self._review()
-                if self.state.routes or self.server is not None or self.placed_by_ticket:
+                if self.state.is_router or self.server is not None or self.placed_by_ticket:
                     await asyncio.sleep(REVIEW_S)
                 else:
-                    await self.state.changed.until(lambda: self.state.routes)
+                    await self.state.changed.until(lambda: self.state.is_router)
         finally:
             await self._close()
 
@@ -112,7 +112,7 @@
         if choice is None or choice.placement is None:
             soonest_s = come_back_s(self.state, asked.service, asked.tried, rests_s, now, self.random)
             return PlaceReply(come_back_s=soonest_s or 0.0)
-        said = statement_told(choice.endpoint, self.state.of(choice.endpoint), now)
+        said = statement_told(choice.endpoint, self.state.endpoint_state(choice.endpoint), now)
         given_up = asked.most_backlog_s is not None and choice.backlog_s > asked.most_backlog_s
         if not given_up and asked.may_wait and self._read_soon(choice, asked):
             return PlaceReply(endpoint=choice.endpoint.id, version=choice.version, again_s=READ_AGAIN_S)
@@ -202,7 +202,7 @@
         reading_s = read_s(placement.read, asked.tokens)
         address = choice.endpoint.address
         shared = tuple(((choice.scope, part.id), part.tokens) for part in asked.parts[:-1])
-        held = self.state.of(choice.endpoint)
+        held = self.state.endpoint_state(choice.endpoint)
         paced = count_sent(self.state, choice.endpoint, now, self.random)
         placed = Placed(now, held, reading_s, asked.tokens, address, shared, paced)
         self.placed_by_ticket[asked.ticket] = placed
@@ -215,7 +215,7 @@
 
     async def _review(self) -> None:
         state = self.state
-        mine = state.routes
+        mine = state.is_router
         if mine and self.server is None and not state.stopping:
             await self._open()
         if self.server is not None and (not mine or state.stopping):
@@ -303,18 +303,22 @@
     def _operators_last_s(self, asked: OperatorsRequest) -> float:
         """Return the seconds for which nothing new can be said, as far as is known now."""
         state = self.state
-        return 0.0 if state.operators_changed > asked.after else state.view_lasts_s(state.view_age())
+        return (
+            0.0
+            if state.operators_changed_revision > asked.after
+            else state.view_valid_for_s(state.view_age())
+        )
 
     def _endpoints_last_s(self, asked: EndpointsRequest) -> float:
         """Return the same for the list of endpoints."""
         state = self.state
-        return 0.0 if state.list_changed > asked.after else state.list_lasts_s(state.list_age())
+        return 0.0 if state.list_changed_revision > asked.after else state.list_valid_for_s(state.list_age())
 
     def _operators_reply(self, asked: OperatorsRequest, began_at: float) -> OperatorsReply:
         state = self.state
         revision = state.operators_revision
-        if state.operators_changed > asked.after:
-            named, evacuated = dict(state.named_by_model), tuple(sorted(state.evacuated))
+        if state.operators_changed_revision > asked.after:
+            named, evacuated = dict(state.target_version_by_model), tuple(sorted(state.evacuated))
             changes = OperatorChanges(revision, True, state.catalog, "", named, evacuated=evacuated)
         else:
             changes = OperatorChanges(revision, False)
@@ -341,7 +345,7 @@
 
     def _endpoints_reply(self, asked: EndpointsRequest) -> EndpointsReply:
         state = self.state
-        if state.list_changed > asked.after:
+        if state.list_changed_revision > asked.after:
             changes = EndpointChanges(state.list_revision, True, self._listed())
         else:
             changes = EndpointChanges(state.list_revision, False)
--- a/stairquay/serving/sharing.py
+++ b/stairquay/serving/sharing.py
@@ -68,7 +68,7 @@
     async def follow_operators(self, after: int, wait_s: float) -> Result[OperatorChanges, FeedFault]:
         """Wait for changes after a revision."""
         held_s = self._held_s(wait_s)
-        if self.state.list_passed_on:
+        if self.state.list_from_router:
             both, waiting_s = await self._follow(held_s)
             reply = None if both is None else both.operators
         else:
@@ -100,7 +100,7 @@
     def _operators(self, reply: OperatorsReply | None, waiting_s: float) -> OperatorChanges | None:
         """Return what a router said, None where its view is too old. waiting_s: for how long its question had
         been under way already when we began to wait for it."""
-        self.operators_passed_on = reply is not None and not self.state.view_too_old(reply.age_s)
+        self.operators_passed_on = reply is not None and not self.state.view_expired(reply.age_s)
         if reply is None or not self.operators_passed_on:
             self._take_crashes(-1, None)
             return None
@@ -130,8 +130,8 @@
             self.state.changed.happened()
 
     def _endpoints(self, reply: EndpointsReply | None, waiting_s: float) -> EndpointChanges | None:
-        self.state.list_passed_on = reply is not None and not self.state.list_too_old(reply.age_s)
-        if reply is None or not self.state.list_passed_on:
+        self.state.list_from_router = reply is not None and not self.state.list_expired(reply.age_s)
+        if reply is None or not self.state.list_from_router:
             return None
         return replace(reply.changes, behind_s=reply.age_s + waiting_s)
 
@@ -168,7 +168,7 @@
 
     async def _ask(self, ask: Callable[[Link], Awaitable[Reply | None]], question: str) -> Reply | None:
         """Ask the nearest router that follows the table service; None where this box does or none answers."""
-        if self.state.follows:
+        if self.state.is_follower:
             return None
         router = next(iter(routers_for(self.state.member, self.state.following_routers())), None)
         if router is None:
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -17,23 +17,23 @@
 from stairquay.serving.settings import BoxSettings
 from stairquay.serving.waking import Changes
 
-TOO_OLD_SHARE = 0.95
+VERSION_DEADLINE_SHARE = 0.95
 """Share of the time in which a version is to be everywhere after which no request may begin on older ones:
 the rest is for the request's way. Its predicted time to the first token counts besides."""
 
-FIRST_TOKEN_FACTOR = 2.0
+FIRST_TOKEN_MARGIN = 2.0
 """Times by which a first token may come later than predicted: 1.6 to 2.0 at the median of each engine, where
 engines read at less than half of the speed that predictions assume."""
 
-SAME_NAMING_S = 0.25
+CLOCK_TOLERANCE_S = 0.25
 """Seconds by which two boxes' times for the same naming may differ without a line in the log: clocks are
 compared over the network, and views are asked for a few times a second."""
 
-OLD_VIEW_SHARE = 0.45
+MAX_VIEW_AGE_SHARE = 0.45
 """Share of the time in which a configuration must be in force up to whose age a router's view is used. A box
 whose router then falls silent waits for 0.4 of it before it asks the table service itself."""
 
-OLD_LIST_SHARE = 0.5
+MAX_LIST_AGE_SHARE = 0.5
 """The same for the list of endpoints, of the time in which new work for a leaving endpoint must stop."""
 
 
@@ -72,32 +72,32 @@
     view_asked_at: float = NEVER
     fleet: Fleet = field(default_factory=Fleet)
     fleet_known: bool = False
-    viewed_before_start: float = NEVER
-    named_at_start: dict[str, int] = field(default_factory=dict)
-    namings_learned: bool = False
-    named_by_model: dict[str, int] = field(default_factory=dict)
-    namings_by_model: dict[str, VersionHistory] = field(default_factory=dict)
+    last_view_before_start: float = NEVER
+    target_versions_at_start: dict[str, int] = field(default_factory=dict)
+    version_history_known: bool = False
+    target_version_by_model: dict[str, int] = field(default_factory=dict)
+    version_history_by_model: dict[str, VersionHistory] = field(default_factory=dict)
     endpoints_by_id: dict[str, EndpointState] = field(default_factory=dict)
     holdings: Holdings = field(default_factory=Holdings)
-    budgets_by_service: dict[str, WindowBudget] = field(default_factory=dict)
+    retry_budgets_by_service: dict[str, WindowBudget] = field(default_factory=dict)
     boxes: tuple[str, ...] = ()
     boxes_known_at: float = NEVER
     operators_revision: int = 0
-    operators_changed: int = 0
+    operators_changed_revision: int = 0
     list_asked_at: float = NEVER
-    list_unreached_at: float = NEVER
-    list_passed_on: bool = False
+    list_unreachable_at: float = NEVER
+    list_from_router: bool = False
     list_revision: int = 0
-    list_changed: int = 0
+    list_changed_revision: int = 0
     routers: tuple[Member, ...] = ()
     routed_engines: frozenset[str] = frozenset()
-    come_back_at_by_service: dict[str, float] = field(default_factory=dict)
+    retry_at_by_service: dict[str, float] = field(default_factory=dict)
     suspected_until_by_id: dict[str, float] = field(default_factory=dict)
     limited: set[str] = field(default_factory=set)
     resting: set[str] = field(default_factory=set)
     evacuated: frozenset[str] = frozenset()
     evacuated_revision: int = 0
-    returned_at_by_hall: dict[str, float] = field(default_factory=dict)
+    evacuation_ended_at_by_hall: dict[str, float] = field(default_factory=dict)
     unreadable: set[str] = field(default_factory=set)
     clock_offset_ms: float | None = None
     in_flight: int = 0
@@ -114,16 +114,16 @@
     def use_settings(self, settings: BoxSettings) -> None:
         """Put changed settings in force; addresses keep until the next start."""
         self.settings = settings
-        for budget in self.budgets_by_service.values():
+        for budget in self.retry_budgets_by_service.values():
             budget.allowance = settings.repeats
 
     @property
-    def routes(self) -> bool:
+    def is_router(self) -> bool:
         """Tell whether this box is one of those that route for all, by their own view of engines."""
         return any(router.id == self.settings.id for router in self.routers)
 
     @property
-    def follows(self) -> bool:
+    def is_follower(self) -> bool:
         """Tell whether this box is one of those that follow the table service for all."""
         return any(router.id == self.settings.id for router in self.following_routers())
 
@@ -131,8 +131,8 @@
     def member(self) -> Member:
         """Return this box as others see it."""
         settings = self.settings
-        room = capacity(settings.cores, settings.link_mbps)
-        return Member(settings.id, settings.peer_address, room, settings.data_hall)
+        box_capacity = capacity(settings.cores, settings.link_mbps)
+        return Member(settings.id, settings.peer_address, box_capacity, settings.data_hall)
 
     def suspect(self, router: str, for_s: float) -> None:
         """Pass a router over for a while that did not answer."""
@@ -169,21 +169,21 @@
         """Return the age of the list of endpoints in seconds."""
         return monotonic() - self.list_asked_at
 
-    def list_too_old(self, age_s: float) -> bool:
+    def list_expired(self, age_s: float) -> bool:
         """Tell whether a list of that age is too old to pass on: leaving endpoints must be known in time."""
-        return self.list_lasts_s(age_s) < 0
+        return self.list_valid_for_s(age_s) < 0
 
-    def list_lasts_s(self, age_s: float) -> float:
+    def list_valid_for_s(self, age_s: float) -> float:
         """Return the seconds until a list of that age is too old to pass on."""
-        return self.settings.drain_s * OLD_LIST_SHARE - age_s
+        return self.settings.drain_s * MAX_LIST_AGE_SHARE - age_s
 
-    def view_too_old(self, age_s: float) -> bool:
+    def view_expired(self, age_s: float) -> bool:
         """Tell whether a view of operators' rows of that age is too old to pass on."""
-        return self.view_lasts_s(age_s) < 0
+        return self.view_valid_for_s(age_s) < 0
 
-    def view_lasts_s(self, age_s: float) -> float:
+    def view_valid_for_s(self, age_s: float) -> float:
         """Return the seconds until a view of operators' rows of that age is too old to pass on."""
-        return min(self.settings.apply_s, self.settings.evacuate_s) * OLD_VIEW_SHARE - age_s
+        return min(self.settings.apply_s, self.settings.evacuate_s) * MAX_VIEW_AGE_SHARE - age_s
 
     def view_age(self) -> float:
         """Return the age of the configuration's view in seconds."""
@@ -198,28 +198,28 @@
         known = self.catalog is not None and self.fleet_known
         return known and not self.stopping and self.view_age() < self.settings.freshness.ready_s
 
-    def turns_away(self) -> bool:
+    def should_close_connections(self) -> bool:
         """Tell whether callers should use another box from now on: this one stops, or its view is old."""
         return self.stopping or self.view_age() >= self.settings.freshness.ready_s
 
-    def of(self, endpoint: Endpoint) -> EndpointState:
+    def endpoint_state(self, endpoint: Endpoint) -> EndpointState:
         """Return the state of an endpoint, a new one where its entry tells of a newer life."""
         held = self.endpoints_by_id.get(endpoint.id)
         if held is None:
             held = self.endpoints_by_id[endpoint.id] = EndpointState(born=endpoint.born)
         elif endpoint.born > held.born:
-            return self._new_life(endpoint, held, endpoint.born, "entry")
+            return self._reset_endpoint(endpoint, held, endpoint.born, "entry")
         return held
 
-    def take_report(self, endpoint: Endpoint, report: EngineReport, now: float) -> None:
+    def apply_report(self, endpoint: Endpoint, report: EngineReport, now: float) -> None:
         """Take in what an endpoint said of itself. News of a newer life may come so before its entry does: it
         has just started then, and counts as cold."""
-        held = self.of(endpoint)
+        held = self.endpoint_state(endpoint)
         if 0 < report.born < held.born:
             return
         if report.born > held.born:
             known = held
-            held = self._new_life(endpoint, held, report.born, "report")
+            held = self._reset_endpoint(endpoint, held, report.born, "report")
             if held is not known:
                 held.cold_until = now + self.cold_start_s(endpoint.service)
         held.on_report(report, now)
@@ -229,7 +229,9 @@
         shape = None if self.catalog is None else self.catalog.services_by_id.get(service)
         return 0.0 if shape is None or shape.cold is None else shape.cold.start_s
 
-    def _new_life(self, endpoint: Endpoint, held: EndpointState, born: int, source: str) -> EndpointState:
+    def _reset_endpoint(
+        self, endpoint: Endpoint, held: EndpointState, born: int, source: str
+    ) -> EndpointState:
         """Drop all that was believed of an endpoint's last life; return the state of the new one.
 
         The first birth that is heard of is that of the life which is known already. What is under way at the
@@ -246,20 +248,20 @@
 
     def version_of(self, endpoint: Endpoint, model: str) -> int:
         """Return the version of the weights an endpoint runs: no endpoint ever goes back."""
-        state = self.of(endpoint)
+        state = self.endpoint_state(endpoint)
         reported = 0 if state.report is None else state.report.versions_by_model.get(model, 0)
         return max(endpoint.versions_by_model.get(model, 0), reported, state.version)
 
-    def note_named(self, model: str, version: int, at: float, source: str) -> None:
+    def record_target_version(self, model: str, version: int, at: float, source: str) -> None:
         """Note when a version was named; of what several boxes saw, the earliest time counts.
 
         source: what tells so, for the log.
         """
-        history = self.namings_by_model.setdefault(model, VersionHistory())
+        history = self.version_history_by_model.setdefault(model, VersionHistory())
         before = history.replaced_at(version - 1)
         history.record(version, at)
         after = history.replaced_at(version - 1)
-        if after is not None and (before is None or before - after > SAME_NAMING_S):
+        if after is not None and (before is None or before - after > CLOCK_TOLERANCE_S):
             age_s = monotonic() - after
             self.log.line(
                 Decision.VERSION_NAMED, model=model, version=version, named_s_ago=age_s, source=source
@@ -268,26 +270,30 @@
     def last_view_at(self) -> float | None:
         """Return when the last view that is known of was asked for: this box's own, or any box's before it
         started. What the next view shows for the first time was named later."""
-        at = max(self.view_asked_at, self.viewed_before_start)
+        at = max(self.view_asked_at, self.last_view_before_start)
         return at if at > NEVER else None
 
-    def note_view_before_start(self, at: float) -> None:
+    def record_view_before_start(self, at: float) -> None:
         """Note when a box last had a view, before this one started: what that one did not show, and our first
         one does, may have been named right after it. Without this, a version that is named while no box runs,
         or right before all are lost, seems younger by the time without boxes."""
-        self.viewed_before_start = at
-        for model, version in self.named_at_start.items():
-            self.note_named(model, version, at, "view before start")
+        self.last_view_before_start = at
+        for model, version in self.target_versions_at_start.items():
+            self.record_target_version(model, version, at, "view before start")
 
-    def saw_named(self, model: str, version: int) -> bool:
+    def saw_version_change(self, model: str, version: int) -> bool:
         """Tell whether a version came between two views of this box: the first of them tells its age."""
-        return self.named_at_start.get(model, 0) < version <= self.named_by_model.get(model, 0)
+        return (
+            self.target_versions_at_start.get(model, 0)
+            < version
+            <= self.target_version_by_model.get(model, 0)
+        )
 
     def replaced_for_s(self, model: str, version: int) -> float:
         """Return for how long a version has been replaced by newer ones, in seconds; 0 where it has not."""
-        if version >= self.named_by_model.get(model, 0):
+        if version >= self.target_version_by_model.get(model, 0):
             return 0.0
-        history = self.namings_by_model.get(model)
+        history = self.version_history_by_model.get(model)
         replaced_at = None if history is None else history.replaced_at(version)
         return 0.0 if replaced_at is None else monotonic() - replaced_at
 
@@ -300,32 +306,32 @@
         )
         return max(ages_s, default=0.0)
 
-    def too_old(self, model: str, version: int, first_token_s: float = 0.0) -> bool:
+    def version_too_old(self, model: str, version: int, first_token_s: float = 0.0) -> bool:
         """Tell whether a version was replaced so long ago that a run must not begin on it, with a first token
         that is predicted after `first_token_s`.
 
         While a box that starts cannot know for how long, any version that was replaced counts as too old.
         """
-        if not self.namings_learned:
-            return version < self.named_by_model.get(model, 0)
+        if not self.version_history_known:
+            return version < self.target_version_by_model.get(model, 0)
         replaced_s = self.replaced_for_s(model, version)
-        begins_s = replaced_s + first_token_s * FIRST_TOKEN_FACTOR
-        return replaced_s > 0 and begins_s > self.settings.versions_within_s * TOO_OLD_SHARE
+        begins_s = replaced_s + first_token_s * FIRST_TOKEN_MARGIN
+        return replaced_s > 0 and begins_s > self.settings.versions_within_s * VERSION_DEADLINE_SHARE
 
-    def budget(self, service: str) -> WindowBudget:
+    def retry_budget(self, service: str) -> WindowBudget:
         """Return the budget for sending a service's requests again."""
-        budget = self.budgets_by_service.get(service)
+        budget = self.retry_budgets_by_service.get(service)
         if budget is None:
-            budget = self.budgets_by_service[service] = WindowBudget(self.settings.repeats)
+            budget = self.retry_budgets_by_service[service] = WindowBudget(self.settings.repeats)
         return budget
 
-    def take_repeat(self, service: str) -> bool:
+    def take_retry(self, service: str) -> bool:
         """Spend one repeat of a service's request, if the budget for that permits it."""
         now = monotonic()
         known_s = now - self.boxes_known_at if self.boxes_known_at > NEVER else 0.0
-        return self.budget(service).take(now, len(self.boxes), known_s)
+        return self.retry_budget(service).take(now, len(self.boxes), known_s)
 
-    def forget_gone(self) -> None:
+    def drop_removed_endpoints(self) -> None:
         """Drop the state of endpoints that are no longer known, but for what they said that still binds."""
         now = monotonic()
         for endpoint_id in list(self.endpoints_by_id):
--- a/stairquay/serving/telling.py
+++ b/stairquay/serving/telling.py
@@ -49,7 +49,7 @@
     the box that was asked for it."""
     for item in told:
         endpoint = state.fleet.by_id.get(item.endpoint)
-        held = None if endpoint is None else state.of(endpoint)
+        held = None if endpoint is None else state.endpoint_state(endpoint)
         if item.leaving:
             born = item.born or (0 if held is None else held.born)
             take_leaving(state, item.endpoint, born, "box")
@@ -81,7 +81,7 @@
     endpoint, left = state.fleet.by_id.get(name), state.fleet.leaving_by_id.get(name)
     if endpoint is None:
         return StatementTold(name, 0 if left is None else left.born, leaving=left is not None, rest_s=rest_s)
-    held = state.of(endpoint)
+    held = state.endpoint_state(endpoint)
     told = statement_told(endpoint, held, now) or StatementTold(name, held.born)
     # A newer life may have been heard of before its entry came: it does not leave as the last one does.
     leaving = left is not None and held.born <= left.born
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -59,10 +59,10 @@
         try:
             while True:
                 self._review()
-                if self.tasks_by_name or self.state.routes:
+                if self.tasks_by_name or self.state.is_router:
                     await asyncio.sleep(REVIEW_S)
                 else:
-                    await self.state.changed.until(lambda: self.state.routes)
+                    await self.state.changed.until(lambda: self.state.is_router)
         finally:
             for task in self.tasks_by_name.values():
                 task.cancel()
@@ -84,7 +84,7 @@
 
     def _wanted(self, catalog: Catalog) -> dict[Name, Work]:
         wanted: dict[Name, Work] = {}
-        if not self.state.routes:
+        if not self.state.is_router:
             return wanted
         for endpoint in self.state.fleet.by_id.values():
             engine = catalog.engine_of(endpoint.service)
@@ -116,12 +116,12 @@
             self._count("report", report is not None)
             endpoint = self.state.fleet.by_id.get(endpoint_id)
             if report is not None and endpoint is not None:
-                self.state.take_report(endpoint, report, monotonic())
+                self.state.apply_report(endpoint, report, monotonic())
                 if report.leaving:
                     take_leaving(self.state, endpoint.id, report.born or endpoint.born, "report")
                 self._take_clock(report.clock_ms)
             elif endpoint is not None:
-                self.state.of(endpoint).unreachable_at = monotonic()
+                self.state.endpoint_state(endpoint).unreachable_at = monotonic()
             await asyncio.sleep(self._report_pause_s(endpoint_id))
 
     def _report_pause_s(self, endpoint_id: str) -> float:
--- a/stairquay/serving/weighing.py
+++ b/stairquay/serving/weighing.py
@@ -31,7 +31,7 @@
 
     familiar: the engines that the sender sends to first, None where that does not matter.
     """
-    held = state.of(endpoint)
+    held = state.endpoint_state(endpoint)
     used_tokens = held.used_tokens(now) + _waiting_memory(held.report)
     return EngineView(
         id=endpoint.id,
@@ -90,7 +90,7 @@
     by_address: dict[str, Source] = {}
     for endpoint in state.fleet.live():
         # An evacuated hall may be about to lose its power: a source that is gone costs some hundred ms.
-        if endpoint.data_hall not in state.evacuated and not state.of(endpoint).silent(now):
+        if endpoint.data_hall not in state.evacuated and not state.endpoint_state(endpoint).silent(now):
             by_address[endpoint.address] = Source(endpoint.address, 0, engine.link_bytes_s)
     for store in fresh_stores(state, catalog):
         by_address[store.address] = Source(store.address, 0, store.link_bytes_s, store.first_s, lasting=True)
--- a/tests/loads/test_limits_of_endpoints.py
+++ b/tests/loads/test_limits_of_endpoints.py
@@ -120,7 +120,9 @@
         state, router = self.boxes[box], self.router_of(box, now)
         if router is not None and self.endpoint is ENGINE:
             decides = self.routers[router]
-            if limit_of(state.of(self.endpoint)) < limit_of(decides.of(self.endpoint)):
+            if limit_of(state.endpoint_state(self.endpoint)) < limit_of(
+                decides.endpoint_state(self.endpoint)
+            ):
                 take_told(decides, told_statements(state, now), now)
             if self._sends(decides, now, chance):
                 return True
@@ -134,7 +136,7 @@
 
     def _answered(self, box: int, sent_at: float, now: float, per_s: float) -> None:
         state = self.boxes[box]
-        take_limit(state, self.endpoint, state.of(self.endpoint), LimitNews(per_s, sent_at, now))
+        take_limit(state, self.endpoint, state.endpoint_state(self.endpoint), LimitNews(per_s, sent_at, now))
         if per_s < UNLIMITED:
             self.told_at_by_box.setdefault(box, now)
 
@@ -263,7 +265,7 @@
     play = routed(boxes, named(per_s, until=40.0)).run(60.0)
     assert max(play.windows(NAMED_AT + KNOWN_S, 40.0)) <= borne(per_s)
     assert play.rate(50, 60) >= 0.9 * PRESS_PER_S
-    assert all(limit_of(state.of(ENGINE)) == UNLIMITED for state in play.boxes)
+    assert all(limit_of(state.endpoint_state(ENGINE)) == UNLIMITED for state in play.boxes)
 
 
 @pytest.mark.parametrize("boxes", FLEETS)
--- a/tests/loads/test_limits_that_fall.py
+++ b/tests/loads/test_limits_that_fall.py
@@ -24,7 +24,7 @@
 
 
 def names(state: BoxState, per_s: float, at: float) -> None:
-    take_limit(state, PLAIN, state.of(PLAIN), LimitNews(per_s, at, at))
+    take_limit(state, PLAIN, state.endpoint_state(PLAIN), LimitNews(per_s, at, at))
 
 
 def sends(state: BoxState, at: float, chance: Random) -> bool:
--- a/tests/loads/test_rests_that_end.py
+++ b/tests/loads/test_rests_that_end.py
@@ -34,13 +34,15 @@
     state = box_state(f"b-{number:03}")
     apply_endpoints(state, EndpointChanges(1, True, (endpoint,)), 0.0)
     state.boxes, state.boxes_known_at = tuple(f"b-{other:03}" for other in range(boxes)), 0.0
-    state.of(endpoint).response_time_s = work_s
+    state.endpoint_state(endpoint).response_time_s = work_s
     return state
 
 
 def sends_again_at(state: BoxState, endpoint: Endpoint, asked_at: float) -> float:
     """Return when a box that always has work for an endpoint sends it the next request."""
-    take_statement(state, endpoint, state.of(endpoint), Statement(rest_s=REST_S), asked_at, asked_at)
+    take_statement(
+        state, endpoint, state.endpoint_state(endpoint), Statement(rest_s=REST_S), asked_at, asked_at
+    )
     steps = range(int(LATEST_S * 200) + 1)
     return next(asked_at + step / 200 for step in steps if not rests_of(state, asked_at + step / 200))
 
@@ -56,7 +58,7 @@
         asked_at = 100.0 + chance.random() * ASKED_WITHIN_S
         again_at = sends_again_at(state, endpoint, asked_at)
         assert again_at >= asked_at + REST_S
-        note_tried(state.of(endpoint), again_at)
+        note_tried(state.endpoint_state(endpoint), again_at)
         assert rests_of(state, again_at + 0.01), "the next one waits for the answer"
         times.append(again_at)
     fullest = max(sum(start <= at < start + WINDOW_S for at in times) for start in times)
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -35,7 +35,7 @@
     state.routers = (Member("b-1"),)
     state.routed_engines = frozenset(item.id for item in listed)
     for item in listed:
-        state.of(item).on_report(EngineReport(running=1, total_tokens=100_000), monotonic())
+        state.endpoint_state(item).on_report(EngineReport(running=1, total_tokens=100_000), monotonic())
     return state
 
 
@@ -127,7 +127,7 @@
             self.asked.append(address)
 
     state = router_state()
-    state.named_by_model["m"] = 2
+    state.target_version_by_model["m"] = 2
     state.endpoints_by_id["e-0"].reported_at = monotonic() - 1.0
     giver = OrderGiver(state, None, Peers())
     asyncio.run(giver._look_again([EngineState("e-0", "m", 1)]))
@@ -142,11 +142,11 @@
 def test_a_router_beside_those_that_follow_the_table_service_follows_it_once_one_is_gone():
     state = router_state()
     state.routers = (Member("a-1"), Member("a-2"), Member("b-1"))
-    assert state.routes and not state.follows
+    assert state.is_router and not state.is_follower
     state.suspected_until_by_id["a-1"] = monotonic() + 1.0
-    assert state.follows
+    assert state.is_follower
     state.suspected_until_by_id["a-1"] = monotonic() - 1.0
-    assert not state.follows
+    assert not state.is_follower
 
 
 def test_boxes_beside_routers_ask_a_table_service_that_is_down_less_often():
--- a/tests/test_idle_box.py
+++ b/tests/test_idle_box.py
@@ -104,7 +104,7 @@
         parts = box_parts(state, surroundings, links, router, notices, Random(1))
         tasks = [asyncio.create_task(part()) for part in parts.values()]
         await asyncio.sleep(SETTLED_S)
-        assert not state.routes and len(state.boxes) > 200
+        assert not state.is_router and len(state.boxes) > 200
         before = loop.fired
         await asyncio.sleep(WATCHED_S)
         ended = [task for task in tasks if task.done()]
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -61,12 +61,12 @@
 
 def test_all_that_was_believed_of_an_endpoint_goes_with_its_life():
     state = state_with(ENGINE)
-    held = state.of(ENGINE)
+    held = state.endpoint_state(ENGINE)
     held.in_flight, held.version, held.failure_rate = 7, 4, 0.9
     held.on_report(EngineReport({"m": 4}, running=5, used_tokens=9_000, total_tokens=10_000), monotonic())
     state.holdings.expect(ENGINE.address, "/m/4", "aa", 500)
     listed(state, replace(ENGINE, born=2_000, sequence=1))
-    anew = state.of(ENGINE)
+    anew = state.endpoint_state(ENGINE)
     assert (
         anew is not held
         and anew.report is None
@@ -78,12 +78,12 @@
 
 def test_a_report_may_tell_of_a_new_life_before_its_entry_does_and_it_is_cold():
     state = state_with(ENGINE)
-    held = state.of(ENGINE)
+    held = state.endpoint_state(ENGINE)
     now = monotonic()
-    state.take_report(ENGINE, EngineReport(born=2_000), now)
-    assert state.of(ENGINE) is not held
+    state.apply_report(ENGINE, EngineReport(born=2_000), now)
+    assert state.endpoint_state(ENGINE) is not held
     assert START_S - 0.1 < cold_for_s(state, ENGINE, now) <= START_S
-    state.take_report(ENGINE, EngineReport({"m": 9}, born=1_000), now)
+    state.apply_report(ENGINE, EngineReport({"m": 9}, born=1_000), now)
     assert state.version_of(ENGINE, "m") == 1, "a report of the last life"
     listed(state, replace(ENGINE, sequence=6))
     assert cold_for_s(state, ENGINE, monotonic()) > 0, "an entry of the last life"
@@ -120,7 +120,7 @@
     listed(state, replace(ENGINE, born=2_000, sequence=1))
     assert place(part, "new") == "e"
     part.finished(Ended("old", Outcome.FAILED))
-    anew = state.of(ENGINE)
+    anew = state.endpoint_state(ENGINE)
     assert anew.in_flight == 1 and anew.failure_rate == 0.0
 
 
@@ -138,9 +138,9 @@
 def test_an_endpoint_that_was_not_reached_counts_as_cold_until_it_says_that_it_is_the_same():
     state = state_with(ENGINE)
     assert cold_for_s(state, ENGINE, monotonic()) == 0
-    state.of(ENGINE).unreachable_at = monotonic()
+    state.endpoint_state(ENGINE).unreachable_at = monotonic()
     assert cold_for_s(state, ENGINE, monotonic()) > START_S - 0.1
-    state.take_report(ENGINE, EngineReport(born=ENGINE.born), monotonic())
+    state.apply_report(ENGINE, EngineReport(born=ENGINE.born), monotonic())
     assert cold_for_s(state, ENGINE, monotonic()) == 0
 
 
@@ -200,7 +200,7 @@
     part = RouterPart(state, CHANCE)
     changes = part._operators_reply(OperatorsRequest(9, 0.0), monotonic()).changes
     assert changes.whole and changes.evacuated == ("hall-a",)
-    state.of(ENGINE).cold_until = monotonic() + 1.0
+    state.endpoint_state(ENGINE).cold_until = monotonic() + 1.0
     passed = part._endpoints_reply(EndpointsRequest(0, 0.0)).changes.present[0]
     assert passed.cold and 0.9 < passed.cold_s <= 1.0
 
--- a/tests/test_serving_core.py
+++ b/tests/test_serving_core.py
@@ -146,9 +146,9 @@
 def test_a_box_has_no_slack_until_the_rows_of_boxes_were_read_and_its_whole_share_a_window_after():
     state = box_state()
     state.boxes = ("b-1",)
-    assert not state.take_repeat("s")
+    assert not state.take_retry("s")
     state.boxes, state.boxes_known_at = ("b-1", "b-2"), monotonic() - Allowance().window_s - 1.0
-    taken = [state.take_repeat("s") for _ in range(10)]
+    taken = [state.take_retry("s") for _ in range(10)]
     assert taken == [True] * 3 + [False] * 7  # 0.7 of 10, for two boxes
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -70,7 +70,7 @@
     state = box_state("b-9")
     state.routers = (Member("r-1", "one"), Member("r-2", "two"))
     state.operators_revision, state.list_revision = 5, 6
-    state.list_passed_on = True
+    state.list_from_router = True
     feeds = SharedFeeds(state, TableService(), router)
     feeds.operators_passed_on = True
     return feeds
@@ -182,7 +182,7 @@
         return self.answer()
 
     def answer(self):
-        self.state.list_passed_on = True
+        self.state.list_from_router = True
         if self.told == len(self.lists):
             return Ok(EndpointChanges(self.told, False))
         self.told += 1
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -33,7 +33,7 @@
 def hears(state: BoxState, said: Statement, ago_s: float = 0.0) -> None:
     """Take in an answer that came so long ago, to a request sent right before."""
     at = monotonic() - ago_s
-    take_statement(state, PLAIN, state.of(PLAIN), said, at, at)
+    take_statement(state, PLAIN, state.endpoint_state(PLAIN), said, at, at)
 
 
 def knowing() -> BoxState:
@@ -68,7 +68,7 @@
     state = knowing()
     hears(state, Statement(limit_per_s=2.0))
     lapse_and_return(state)
-    assert limit_of(state.of(PLAIN)) == 2.0
+    assert limit_of(state.endpoint_state(PLAIN)) == 2.0
 
 
 def test_rests_that_overlap_last_until_the_last_one_ends():
@@ -106,7 +106,7 @@
     state, other = knowing(), knowing()
     apply_endpoints(state, EndpointChanges(2, True, (born(1_000),)), monotonic())
     hears(state, Statement(leaving=True))
-    state.take_report(state.fleet.by_id[PLAIN.id], EngineReport(born=2_000), monotonic())
+    state.apply_report(state.fleet.by_id[PLAIN.id], EngineReport(born=2_000), monotonic())
     take_told(other, told_statements(state, monotonic()), monotonic())
     apply_endpoints(other, EndpointChanges(3, True, (born(2_000),)), monotonic())
     assert chosen(other)
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -70,7 +70,7 @@
                 table.put(OWN_TABLE, PREFIX + "other", {"beat": 3, "viewed_at_s": now_ms() / 1000 - 5.0})
                 table.late_s_by_table = {OWN_TABLE: 0.5}
                 await take_rows(table, boxes)
-                assert viewed_at - 0.7 <= state.viewed_before_start <= viewed_at + 0.05
+                assert viewed_at - 0.7 <= state.last_view_before_start <= viewed_at + 0.05
         finally:
             await table.runner.cleanup()
 
@@ -104,16 +104,16 @@
 def state_with_old_weights(replaced_s: float) -> BoxState:
     """Return the state of a router with one engine whose weights have been replaced for so long."""
     state = box_state()
-    state.namings_learned = True
+    state.version_history_known = True
     state.catalog = CATALOG
     engine = Endpoint("e-0", "llm", "10.0.1.0:1", "hall-a", 8, versions_by_model={"m": 1})
     state.fleet.apply([engine], [], monotonic())
     state.routers = (Member("b-1"),)
     state.routed_engines = frozenset({engine.id})
     report = EngineReport(versions_by_model={"m": 1}, running=1, total_tokens=200_000)
-    state.of(engine).on_report(report, monotonic())
-    state.named_by_model["m"] = 2
-    state.note_named("m", 2, monotonic() - replaced_s, "operators")
+    state.endpoint_state(engine).on_report(report, monotonic())
+    state.target_version_by_model["m"] = 2
+    state.record_target_version("m", 2, monotonic() - replaced_s, "operators")
     return state
 
 
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -125,7 +125,7 @@
         assert reply.changes.versions_by_model == {"m": 2} and reply.held_s >= 0.04
 
         # Nothing new comes: the answer is given when the view becomes too old to pass on.
-        lasts_s = state.view_lasts_s(state.view_age())
+        lasts_s = state.view_valid_for_s(state.view_age())
         began = monotonic()
         reply = await part._on_operators(OperatorsRequest(2, 5.0))
         assert not reply.changes.versions_by_model
