--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -23,7 +23,7 @@
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
 from stairquay.serving.notices import Notices
-from stairquay.serving.pacing import come_back_s, count_sent
+from stairquay.serving.pacing import count_sent, retry_after_s
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
@@ -208,7 +208,7 @@
             return progress.come_back_s
         now = monotonic()
         rests_s = rests_of(self.state, now)
-        return come_back_s(self.state, job.service.id, progress.tried, rests_s, now, self.random)
+        return retry_after_s(self.state, job.service.id, progress.tried, rests_s, now, self.random)
 
     def all_rest_s(self, job: Job) -> float | None:
         """Return the seconds after which the caller of a job should come back that is refused while all
@@ -218,7 +218,7 @@
         usable = [item for item in state.fleet.usable(job.service.id, now) if takes_work(state, item)]
         if not usable or any(item.id not in rests_s for item in usable):
             return None
-        return come_back_s(state, job.service.id, (), rests_s, now, self.random)
+        return retry_after_s(state, job.service.id, (), rests_s, now, self.random)
 
     def _question(
         self,
--- a/stairquay/serving/cold.py
+++ b/stairquay/serving/cold.py
@@ -9,7 +9,7 @@
 from stairquay.serving.endpoint import NEVER
 from stairquay.serving.state import BoxState
 
-RETURN_CAUTION_S = 2.0
+POST_EVACUATION_COLD_S = 2.0
 """Seconds for which endpoints count as cold after the evacuation of their data hall was taken back, whatever
 their entries say: an entry is written about each 1.2 s and comes 0.8 s late. They stand empty, so that
 without this each of them would look like the best one to every router at once."""
@@ -26,9 +26,9 @@
     limit = cold_limit_of(state, endpoint)
     if limit is None:
         return 0.0
-    held = state.endpoint_state(endpoint)
-    until = held.cold_until
-    if held.unreachable_at > NEVER:
-        until = max(until, held.unreachable_at + limit.start_s)
-    returned_at = state.evacuation_ended_at_by_hall.get(endpoint.data_hall, NEVER)
-    return max(0.0, max(until, returned_at + RETURN_CAUTION_S) - now)
+    endpoint_state = state.endpoint_state(endpoint)
+    until = endpoint_state.cold_until
+    if endpoint_state.unreachable_at > NEVER:
+        until = max(until, endpoint_state.unreachable_at + limit.start_s)
+    evacuation_ended_at = state.evacuation_ended_at_by_hall.get(endpoint.data_hall, NEVER)
+    return max(0.0, max(until, evacuation_ended_at + POST_EVACUATION_COLD_S) - now)
--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -56,8 +56,8 @@
     known_since: float = NEVER
     cold_until: float = NEVER
     unreachable_at: float = NEVER
-    router_pace: Pace | None = None
-    alone_pace: Pace | None = None
+    router_pacer: Pace | None = None
+    standalone_pacer: Pace | None = None
     limit: LimitNews | None = None
     limit_ended_at: float = NEVER
     rest: Rest | None = None
--- a/stairquay/serving/pacing.py
+++ b/stairquay/serving/pacing.py
@@ -16,77 +16,77 @@
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import limit_of
 
-UNKNOWN_BOXES = 300
+ASSUMED_BOXES = 300
 """Boxes that a box counts with before it has read who else is there: as many as a fleet may have, so that
 hundreds that start at once do not each take the whole for their own share."""
 
-COLD_RETRY_S = 2.0
+MAX_COLD_RETRY_S = 2.0
 """Longest time after which a caller refused for cold endpoints should come back: starts take seconds, and one
 endpoint that is warm again takes all who wait."""
 
-LEAST_WORK_S = 0.01
+MIN_RESPONSE_TIME_S = 0.01
 """Shortest time that an answer is believed to take where callers are told when to come."""
 
-SPREAD_S = 3.0
+RETRY_SPREAD_S = 3.0
 """Longest time by which callers that are refused together are told to come one after the other."""
 
 
-def bounds_of(state: BoxState, endpoint: Endpoint, now: float) -> list[Bound]:
+def rate_bounds(state: BoxState, endpoint: Endpoint, now: float) -> list[Bound]:
     """Return what bounds the work of an endpoint now; nothing does usually."""
     bounds = []
-    named = limit_of(state.endpoint_state(endpoint))
-    if named < UNLIMITED:
-        bounds.append(Bound(max(LEAST_PER_S, named), LIMIT_SHARES))
+    limit_per_s = limit_of(state.endpoint_state(endpoint))
+    if limit_per_s < UNLIMITED:
+        bounds.append(Bound(max(LEAST_PER_S, limit_per_s), LIMIT_SHARES))
     cold = cold_limit_of(state, endpoint)
     if cold is not None and cold_for_s(state, endpoint, now) > 0:
         bounds.append(Bound(cold.per_s, COLD_SHARES))
     return bounds
 
 
-def wait_s(state: BoxState, endpoint: Endpoint, now: float, chance: Random) -> float:
+def wait_s(state: BoxState, endpoint: Endpoint, now: float, random: Random) -> float:
     """Return the seconds until this box may send a request to an endpoint, 0 where it may do so now."""
-    bounds = bounds_of(state, endpoint, now)
+    bounds = rate_bounds(state, endpoint, now)
     if not bounds:
         return 0.0
-    per_s = own_per_s(state, endpoint, bounds)
+    per_s = box_rate_per_s(state, endpoint, bounds)
     if endpoint.id in state.routed_engines:
         burst = min(bound.shares.burst for bound in bounds)
-        return _router_pace(state, endpoint, now).wait_s(now, per_s, burst)
-    return _alone_pace(state, endpoint, now, per_s, chance).wait_s(now, per_s)
+        return _router_pacer(state, endpoint, now).wait_s(now, per_s, burst)
+    return _standalone_pacer(state, endpoint, now, per_s, random).wait_s(now, per_s)
 
 
-def count_sent(state: BoxState, endpoint: Endpoint, now: float, chance: Random) -> bool:
+def count_sent(state: BoxState, endpoint: Endpoint, now: float, random: Random) -> bool:
     """Count a request that goes to an endpoint, if that takes only so many; tell whether it was counted as by
     its router."""
-    bounds = bounds_of(state, endpoint, now)
+    bounds = rate_bounds(state, endpoint, now)
     if not bounds:
         return False
-    per_s = own_per_s(state, endpoint, bounds)
+    per_s = box_rate_per_s(state, endpoint, bounds)
     if endpoint.id in state.routed_engines:
-        _router_pace(state, endpoint, now).take(now, per_s)
+        _router_pacer(state, endpoint, now).take(now, per_s)
         return True
-    _alone_pace(state, endpoint, now, per_s, chance).take(now, per_s)
+    _standalone_pacer(state, endpoint, now, per_s, random).take(now, per_s)
     return False
 
 
-def take_back(held: EndpointState) -> None:
+def refund_sent(endpoint_state: EndpointState) -> None:
     """As its router, stop counting a request that never reached an endpoint."""
-    if held.router_pace is not None:
-        held.router_pace.take_back()
+    if endpoint_state.router_pacer is not None:
+        endpoint_state.router_pacer.take_back()
 
 
-def own_per_s(state: BoxState, endpoint: Endpoint, bounds: list[Bound]) -> float:
+def box_rate_per_s(state: BoxState, endpoint: Endpoint, bounds: list[Bound]) -> float:
     """Return the requests a second that this box may send to an endpoint, by the strictest of its bounds."""
-    return min(bound.per_s * _own_share(state, endpoint, bound) for bound in bounds)
+    return min(bound.per_s * _box_share(state, endpoint, bound) for bound in bounds)
 
 
-def come_back_s(
+def retry_after_s(
     state: BoxState,
     service: str,
     tried: Collection[str],
     rests_s: Mapping[str, float],
     now: float,
-    chance: Random,
+    random: Random,
 ) -> float | None:
     """Return the seconds after which a caller that is refused should come back, None where no endpoint of the
     service is held back by a bound, or wants rest.
@@ -98,57 +98,57 @@
     usable = [
         item for item in state.fleet.usable(service, now) if takes_work(state, item) and item.id not in tried
     ]
-    bounds_by_id = {item.id: bounds for item in usable if (bounds := bounds_of(state, item, now))}
+    bounds_by_id = {item.id: bounds for item in usable if (bounds := rate_bounds(state, item, now))}
     held_back = [item for item in usable if item.id in bounds_by_id or item.id in rests_s]
-    pauses_s = [max(_pause_s(state, item, now, chance), rests_s.get(item.id, 0.0)) for item in held_back]
+    pauses_s = [max(_pause_s(state, item, now, random), rests_s.get(item.id, 0.0)) for item in held_back]
     soonest_s = min((pause_s for pause_s in pauses_s if pause_s > 0), default=None)
     if soonest_s is None:
         return None
-    per_s = sum(_returning_per_s(state, item, bounds_by_id.get(item.id)) for item in held_back)
-    told_s = max(soonest_s, state.retry_at_by_service.get(service, NEVER) - now)
+    per_s = sum(_retry_rate_per_s(state, item, bounds_by_id.get(item.id)) for item in held_back)
+    delay_s = max(soonest_s, state.retry_at_by_service.get(service, NEVER) - now)
     only_cold = all(
         limit_of(state.endpoint_state(item)) == UNLIMITED and item.id not in rests_s for item in held_back
     )
-    most_s = max(soonest_s, COLD_RETRY_S) if only_cold else soonest_s + SPREAD_S
-    if told_s > most_s:
-        return most_s if only_cold else soonest_s + SPREAD_S * chance.random()
-    state.retry_at_by_service[service] = now + told_s + 1 / per_s
-    return told_s
+    max_delay_s = max(soonest_s, MAX_COLD_RETRY_S) if only_cold else soonest_s + RETRY_SPREAD_S
+    if delay_s > max_delay_s:
+        return max_delay_s if only_cold else soonest_s + RETRY_SPREAD_S * random.random()
+    state.retry_at_by_service[service] = now + delay_s + 1 / per_s
+    return delay_s
 
 
-def _returning_per_s(state: BoxState, endpoint: Endpoint, bounds: list[Bound] | None) -> float:
+def _retry_rate_per_s(state: BoxState, endpoint: Endpoint, bounds: list[Bound] | None) -> float:
     """Return the requests a second that an endpoint takes later of those that this box refuses now: by its
     bounds, or by its places and how long an answer takes."""
     if bounds:
-        return own_per_s(state, endpoint, bounds)
+        return box_rate_per_s(state, endpoint, bounds)
     boxes = 1 if endpoint.id in state.routed_engines else max(1, len(state.boxes))
-    return endpoint.slots / max(LEAST_WORK_S, state.endpoint_state(endpoint).response_time_s) / boxes
+    return endpoint.slots / max(MIN_RESPONSE_TIME_S, state.endpoint_state(endpoint).response_time_s) / boxes
 
 
-def _pause_s(state: BoxState, endpoint: Endpoint, now: float, chance: Random) -> float:
+def _pause_s(state: BoxState, endpoint: Endpoint, now: float, random: Random) -> float:
     """Return the seconds until an endpoint takes a request of this box: a cold one may be warm before."""
-    pause_s = wait_s(state, endpoint, now, chance)
+    pause_s = wait_s(state, endpoint, now, random)
     if limit_of(state.endpoint_state(endpoint)) < UNLIMITED:
         return pause_s
-    return min(pause_s, cold_for_s(state, endpoint, now), COLD_RETRY_S)
+    return min(pause_s, cold_for_s(state, endpoint, now), MAX_COLD_RETRY_S)
 
 
-def _own_share(state: BoxState, endpoint: Endpoint, bound: Bound) -> float:
+def _box_share(state: BoxState, endpoint: Endpoint, bound: Bound) -> float:
     if endpoint.id in state.routed_engines:
         return bound.shares.router
-    boxes = UNKNOWN_BOXES if state.boxes_known_at == NEVER else max(1, len(state.boxes))
+    boxes = ASSUMED_BOXES if state.boxes_known_at == NEVER else max(1, len(state.boxes))
     routed = state.catalog is not None and state.catalog.engine_of(endpoint.service) is not None
     return (bound.shares.alone if routed else bound.shares.split) / boxes
 
 
-def _router_pace(state: BoxState, endpoint: Endpoint, now: float) -> Pace:
-    held = state.endpoint_state(endpoint)
-    if held.router_pace is None:
-        held.router_pace = Pace(now)
-    return held.router_pace
+def _router_pacer(state: BoxState, endpoint: Endpoint, now: float) -> Pace:
+    endpoint_state = state.endpoint_state(endpoint)
+    if endpoint_state.router_pacer is None:
+        endpoint_state.router_pacer = Pace(now)
+    return endpoint_state.router_pacer
 
 
-def _alone_pace(state: BoxState, endpoint: Endpoint, now: float, per_s: float, chance: Random) -> Pace:
-    held = state.endpoint_state(endpoint)
-    held.alone_pace = pace_alone(held.alone_pace, now, per_s, chance)
-    return held.alone_pace
+def _standalone_pacer(state: BoxState, endpoint: Endpoint, now: float, per_s: float, random: Random) -> Pace:
+    endpoint_state = state.endpoint_state(endpoint)
+    endpoint_state.standalone_pacer = pace_alone(endpoint_state.standalone_pacer, now, per_s, random)
+    return endpoint_state.standalone_pacer
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -40,7 +40,7 @@
     ViewsReply,
     ViewsRequest,
 )
-from stairquay.serving.pacing import come_back_s, count_sent, take_back
+from stairquay.serving.pacing import count_sent, refund_sent, retry_after_s
 from stairquay.serving.ports import EndpointChanges, OperatorChanges
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
@@ -110,7 +110,7 @@
         rests_s = {item.endpoint: item.rest_s for item in asked.said if item.rest_s > 0}
         choice = self._choose(asked, rests_s)
         if choice is None or choice.placement is None:
-            soonest_s = come_back_s(self.state, asked.service, asked.tried, rests_s, now, self.random)
+            soonest_s = retry_after_s(self.state, asked.service, asked.tried, rests_s, now, self.random)
             return PlaceReply(come_back_s=soonest_s or 0.0)
         said = statement_told(choice.endpoint, self.state.endpoint_state(choice.endpoint), now)
         given_up = asked.most_backlog_s is not None and choice.backlog_s > asked.most_backlog_s
@@ -175,7 +175,7 @@
         if ended.outcome in (Outcome.NOT_SENT, Outcome.TURNED_AWAY, Outcome.UNREACHED):
             held.revert_placed(placed.reading_s, placed.tokens, placed.at)
             if placed.paced and ended.outcome != Outcome.TURNED_AWAY:
-                take_back(held)
+                refund_sent(held)
         if ended.outcome == Outcome.TURNED_AWAY:
             held.refused_until = now + BUSY_BACKOFF_S
         if ended.outcome == Outcome.UNREACHED:
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -9,7 +9,7 @@
 from stairquay.core.fleet import Endpoint, Fleet
 from stairquay.core.rollout import Given
 from stairquay.core.routers import Member
-from stairquay.serving.cold import RETURN_CAUTION_S, cold_for_s
+from stairquay.serving.cold import POST_EVACUATION_COLD_S, cold_for_s
 from stairquay.serving.following import apply_endpoints, apply_operators
 from stairquay.serving.messages import (
     Ended,
@@ -21,7 +21,7 @@
     PlaceRequest,
 )
 from stairquay.serving.orders import OrderGiver
-from stairquay.serving.pacing import COLD_RETRY_S, come_back_s, wait_s
+from stairquay.serving.pacing import MAX_COLD_RETRY_S, retry_after_s, wait_s
 from stairquay.serving.ports import EndpointChanges, EngineReport, OperatorChanges
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
@@ -155,10 +155,12 @@
     now = monotonic()
     assert 0 < wait_s(state, ENGINE, now, CHANCE) < 1 / LIMIT.per_s * 2
     told = [reply.come_back_s for reply in replies if not reply.endpoint]
-    assert 0 < told[0] < 1 / LIMIT.per_s * 2 and max(told) <= COLD_RETRY_S
+    assert 0 < told[0] < 1 / LIMIT.per_s * 2 and max(told) <= MAX_COLD_RETRY_S
     assert told == sorted(told) and len(set(told)) > 10, "one after the other, not all at once"
     listed(state, replace(ENGINE, sequence=6))
-    assert place(part, "warm") == "e" and come_back_s(state, SERVICE.id, (), {}, monotonic(), CHANCE) is None
+    assert (
+        place(part, "warm") == "e" and retry_after_s(state, SERVICE.id, (), {}, monotonic(), CHANCE) is None
+    )
 
 
 def test_a_box_that_decides_alone_waits_for_its_own_moment():
@@ -186,7 +188,7 @@
     state = state_with(ENGINE)
     operators(state, 10, evacuated=("hall-a",))
     operators(state, 11, returned=("hall-a",))
-    assert RETURN_CAUTION_S - 0.1 < cold_for_s(state, ENGINE, monotonic()) <= RETURN_CAUTION_S
+    assert POST_EVACUATION_COLD_S - 0.1 < cold_for_s(state, ENGINE, monotonic()) <= POST_EVACUATION_COLD_S
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
     part = RouterPart(state, CHANCE)
     assert place(part, "back") == "e"
