--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -73,13 +73,13 @@
     ),
     "engine_fetch": Switch(
         "fetching parts from other engines",
-        SERVING + "weighing.py",
+        SERVING + "engine_views.py",
         "    for endpoint in state.fleet.live():",
         "    for endpoint in state.fleet.live()[:0]:",
     ),
     "store_fetch": Switch(
         "fetching parts from store boxes",
-        SERVING + "weighing.py",
+        SERVING + "engine_views.py",
         "    for store in fresh_stores(state, catalog):",
         "    for store in fresh_stores(state, catalog)[:0]:",
     ),
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -16,7 +16,7 @@
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.placement import EngineView, Placement
 from stairquay.core.routers import Member, routers_for
-from stairquay.serving.choosing import Choice, Wanted
+from stairquay.serving.choosing import Choice, ChoiceRequest
 from stairquay.serving.decisions import Decision
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Job, Progress
@@ -194,7 +194,7 @@
 
     def _choose_here(self, job: Job, progress: Progress) -> Choice | None:
         tried, rests_s = frozenset(progress.tried), rests_of(self.state, monotonic())
-        wanted = Wanted(job.service, job.call.prompt, job.workspace, tried, rests_s=rests_s)
+        wanted = ChoiceRequest(job.service, job.call.prompt, job.workspace, tried, backoffs_s=rests_s)
         choice = choose_and_save(self.state, job.catalog, wanted, self.random)
         if choice is not None:
             count_sent(self.state, choice.endpoint, monotonic(), self.random)
--- a/stairquay/serving/choosing.py
+++ b/stairquay/serving/choosing.py
@@ -19,25 +19,25 @@
     place,
 )
 from stairquay.core.scope import Scope
+from stairquay.serving.engine_views import best_sources, engine_view, usable_sources
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.pacing import wait_s
 from stairquay.serving.state import BoxState
-from stairquay.serving.weighing import best_sources, engine_view, usable_sources
 
 CONNECTION_SHARE = 0.85
 """Share of an endpoint's connections that our boxes use together; it resets those beyond its bound."""
 
-FETCH_S = 2.0
+FETCH_TIMEOUT_S = 2.0
 """Seconds after which a fetch is thrown away; a move that would wait longer is not begun at all."""
 
-FAMILIAR_SHARE = 0.25
+PREFERRED_SHARE = 0.25
 """Share of a router's engines that a box sends to first: with 19 of them and 6 prompts a second it uses each
 connection about once a second, before an engine closes it as idle."""
 
-BLIND_CANDIDATES = 2
+RANDOM_CANDIDATES = 2
 """Engines between which a box chooses that has no router to ask."""
 
-OLD_VERSION_AFTER_S = 1.0
+OUTDATED_AFTER_S = 1.0
 """Seconds after a version was named from which running on an older one costs value."""
 
 
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Wanted:
+class ChoiceRequest:
     """A request that needs an endpoint. prompt is None for plain services.
 
     tried: endpoints that it was sent to already. sender: the box that will send it, empty for this one.
@@ -75,14 +75,16 @@
     workspace: WorkspaceRule | None = None
     tried: frozenset[str] = frozenset()
     sender: str = ""
-    rests_s: Mapping[str, float] = field(default_factory=dict)
+    backoffs_s: Mapping[str, float] = field(default_factory=dict)
 
 
-def choose(state: BoxState, catalog: Catalog, wanted: Wanted, random: Random) -> Choice | None:
+def choose_endpoint(
+    state: BoxState, catalog: Catalog, request: ChoiceRequest, random: Random
+) -> Choice | None:
     """Return the best endpoint, or None where no endpoint can be used."""
     now = monotonic()
-    candidates = _candidates(state, wanted, now, random)
-    prompt, engine = wanted.prompt, wanted.service.engine
+    candidates = _candidates(state, request, now, random)
+    prompt, engine = request.prompt, request.service.engine
     if prompt is not None:
         model = prompt.model
         candidates = [
@@ -92,46 +94,48 @@
         return None
     if prompt is None or engine is None:
         return Choice(_least_busy(state, candidates, now, random))
-    candidates = _routed(state, candidates, random)
-    placements = _placements(state, catalog, wanted, prompt, engine, candidates, now)
-    return _best(state, wanted, prompt, placements, random, now) if placements else None
+    candidates = _routed_or_sampled(state, candidates, random)
+    placements = _placements(state, catalog, request, prompt, engine, candidates, now)
+    return _best_choice(state, request, prompt, placements, random, now) if placements else None
 
 
 def context_scope(workspace: WorkspaceRule | None, model: str, version: int) -> str:
     """Return the name under which context is kept: of one model and version, and of one workspace where
     that is isolated."""
-    wall = workspace.id if workspace is not None and workspace.isolated else ""
-    return Scope(wall, model, version).name
+    isolated_workspace = workspace.id if workspace is not None and workspace.isolated else ""
+    return Scope(isolated_workspace, model, version).name
 
 
-def _candidates(state: BoxState, wanted: Wanted, now: float, random: Random) -> list[Endpoint]:
+def _candidates(state: BoxState, request: ChoiceRequest, now: float, random: Random) -> list[Endpoint]:
     """Return usable endpoints; those tried, turning work away or silent only where there are no others.
 
     None in an evacuated data hall, none that has got as much as it takes, and none that wants rest: also
     where no other is.
     """
-    service, tried = wanted.service, wanted.tried
-    most = service.max_connections * CONNECTION_SHARE
+    service, tried = request.service, request.tried
+    max_connections = service.max_connections * CONNECTION_SHARE
 
     def has_connection(item: Endpoint) -> bool:
         # A router counts what all boxes have under way at its engines, else a box counts its own.
         boxes = 1 if item.id in state.routed_engines else max(1, len(state.boxes))
-        return state.endpoint_state(item).in_flight < max(2, int(most / boxes))
+        return state.endpoint_state(item).in_flight < max(2, int(max_connections / boxes))
 
-    staying = [item for item in state.fleet.usable(service.id, now) if takes_work(state, item)]
-    awake = [item for item in staying if item.id not in wanted.rests_s]
-    usable = [item for item in awake if has_connection(item) and wait_s(state, item, now, random) <= 0]
+    accepting = [item for item in state.fleet.usable(service.id, now) if takes_work(state, item)]
+    available = [item for item in accepting if item.id not in request.backoffs_s]
+    usable = [item for item in available if has_connection(item) and wait_s(state, item, now, random) <= 0]
     fresh = [item for item in usable if item.id not in tried]
     if tried and not fresh:
         return []
-    open_ones = [
-        item for item in fresh if state.endpoint_state(item).refused_until <= now and not _closed(state, item)
+    not_busy = [
+        item
+        for item in fresh
+        if state.endpoint_state(item).refused_until <= now and not _is_busy(state, item)
     ]
-    heard = [item for item in open_ones if not state.endpoint_state(item).silent(now)]
-    return heard or open_ones or fresh
+    reporting = [item for item in not_busy if not state.endpoint_state(item).silent(now)]
+    return reporting or not_busy or fresh
 
 
-def _routed(state: BoxState, candidates: list[Endpoint], random: Random) -> list[Endpoint]:
+def _routed_or_sampled(state: BoxState, candidates: list[Endpoint], random: Random) -> list[Endpoint]:
     """Return the engines to choose from: a router's own, and for boxes that no router answers two by chance.
 
     Choosing the best of all by an old view sends everyone to the same engine: in a simulation of 56 engines
@@ -139,24 +143,24 @@
     by chance, 59% with the best of all, and none where one router counts what it sends.
     """
     own = [item for item in candidates if item.id in state.routed_engines]
-    return own or random.sample(candidates, min(BLIND_CANDIDATES, len(candidates)))
+    return own or random.sample(candidates, min(RANDOM_CANDIDATES, len(candidates)))
 
 
-def _familiar(sender: str, candidates: Sequence[Endpoint]) -> frozenset[str]:
+def _preferred_engines(sender: str, candidates: Sequence[Endpoint]) -> frozenset[str]:
     """Return the engines that a box sends to first: some of them, other ones for each box."""
-    count = ceil(len(candidates) * FAMILIAR_SHARE)
+    count = ceil(len(candidates) * PREFERRED_SHARE)
     return frozenset(ranked(sender.encode(), [item.id for item in candidates], count))
 
 
-def _closed(state: BoxState, endpoint: Endpoint) -> bool:
+def _is_busy(state: BoxState, endpoint: Endpoint) -> bool:
     report = state.endpoint_state(endpoint).report
     return report is not None and report.busy
 
 
 def _least_busy(state: BoxState, candidates: Sequence[Endpoint], now: float, random: Random) -> Endpoint:
     def cost(endpoint: Endpoint) -> tuple[float, bool, float]:
-        held = state.endpoint_state(endpoint)
-        waits = (held.in_flight + 1) * held.response_time_s + held.current_failure_rate(now)
+        load = state.endpoint_state(endpoint)
+        waits = (load.in_flight + 1) * load.response_time_s + load.current_failure_rate(now)
         return round(waits, 3), endpoint.data_hall != state.settings.data_hall, random.random()
 
     return min(candidates, key=cost)
@@ -165,7 +169,7 @@
 def _placements(
     state: BoxState,
     catalog: Catalog,
-    wanted: Wanted,
+    request: ChoiceRequest,
     prompt: PromptShape,
     engine: EngineShape,
     candidates: Sequence[Endpoint],
@@ -173,13 +177,13 @@
 ) -> list[Placement]:
     """Return a placement on each candidate that can begin before its weights are too old, the best first."""
     model = prompt.model
-    familiar = _familiar(wanted.sender, candidates) if wanted.sender else None
+    preferred = _preferred_engines(request.sender, candidates) if request.sender else None
     versions = {item.address: state.version_of(item, model) for item in candidates}
-    scopes = {key: context_scope(wanted.workspace, model, version) for key, version in versions.items()}
+    scopes = {key: context_scope(request.workspace, model, version) for key, version in versions.items()}
 
     def view_of(item: Endpoint) -> EngineView:
-        outdated = state.replaced_for_s(model, versions[item.address]) > OLD_VERSION_AFTER_S
-        return engine_view(state, item, prompt, scopes[item.address], engine.slots, outdated, familiar, now)
+        outdated = state.replaced_for_s(model, versions[item.address]) > OUTDATED_AFTER_S
+        return engine_view(state, item, prompt, scopes[item.address], engine.slots, outdated, preferred, now)
 
     views = [view_of(item) for item in candidates]
     usable = usable_sources(state, catalog, engine, now)
@@ -201,9 +205,9 @@
     ]
 
 
-def _best(
+def _best_choice(
     state: BoxState,
-    wanted: Wanted,
+    request: ChoiceRequest,
     prompt: PromptShape,
     placements: Sequence[Placement],
     random: Random,
@@ -215,7 +219,7 @@
     return Choice(
         endpoint=endpoint,
         version=version or None,
-        scope=context_scope(wanted.workspace, prompt.model, version),
+        scope=context_scope(request.workspace, prompt.model, version),
         placement=best,
         backlog_s=min(backlog_s(item.engine) for item in placements),
         alternative_s=placements[1].first_token_s if len(placements) > 1 else None,
@@ -226,4 +230,4 @@
 def _fetch_until_ms(state: BoxState, now: float) -> int | None:
     if state.clock_offset_ms is None:
         return None
-    return int(now * 1000 + state.clock_offset_ms + FETCH_S * 1000)
+    return int(now * 1000 + state.clock_offset_ms + FETCH_TIMEOUT_S * 1000)
--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -60,7 +60,7 @@
     standalone_pacer: Pace | None = None
     limit: LimitNews | None = None
     limit_ended_at: float = NEVER
-    rest: Rest | None = None
+    backoff: Rest | None = None
     unreadable_by_topic: dict[Topic, str] = field(default_factory=dict)
 
     in_flight: int = 0
@@ -122,7 +122,7 @@
     def has_active_limits(self, now: float) -> bool:
         """Tell whether what the endpoint lately said still binds this box."""
         limited = self.limit is not None and now - self.limit.heard_at < LIMIT_TTL_S
-        return limited or (self.rest is not None and self.rest.wait_s(now) > 0)
+        return limited or (self.backoff is not None and self.backoff.wait_s(now) > 0)
 
     def silent(self, now: float) -> bool:
         """Tell whether reports that used to come have stopped."""
--- a/stairquay/serving/weighing.py
+++ b/stairquay/serving/engine_views.py
@@ -12,7 +12,7 @@
 from stairquay.serving.ports import EngineReport
 from stairquay.serving.state import BoxState
 
-STORE_VIEW_S = 1.2
+STORE_VIEW_TTL_S = 1.2
 """Seconds without an answer after which a store box's view is not used any more: it may have started
 anew, and it does not check what it hands out."""
 
@@ -24,52 +24,55 @@
     scope: str,
     slots: int,
     outdated: bool,
-    familiar: frozenset[str] | None,
+    preferred: frozenset[str] | None,
     now: float,
 ) -> EngineView:
     """Return what is known of an engine now, for one prompt.
 
     familiar: the engines that the sender sends to first, None where that does not matter.
     """
-    held = state.endpoint_state(endpoint)
-    used_tokens = held.used_tokens(now) + _waiting_memory(held.report)
+    endpoint_state = state.endpoint_state(endpoint)
+    used_tokens = endpoint_state.used_tokens(now) + _queued_memory_tokens(endpoint_state.report)
     return EngineView(
         id=endpoint.id,
         address=endpoint.address,
         resident=tuple(state.holdings.tokens(endpoint.address, scope, part.id) for part in prompt.parts),
-        waiting_tokens=_waiting_tokens(state, endpoint, held, now),
-        running=_running(state, endpoint, held),
-        failing=held.current_failure_rate(now),
+        waiting_tokens=_waiting_tokens(state, endpoint, endpoint_state, now),
+        running=_running(state, endpoint, endpoint_state),
+        failing=endpoint_state.current_failure_rate(now),
         outdated=outdated,
         here=endpoint.data_hall == state.settings.data_hall,
-        familiar=familiar is None or endpoint.id in familiar,
+        familiar=preferred is None or endpoint.id in preferred,
         used_tokens=used_tokens,
         slots=slots,
-        total_tokens=0.0 if held.report is None else held.report.total_tokens,
+        total_tokens=0.0 if endpoint_state.report is None else endpoint_state.report.total_tokens,
     )
 
 
-def _running(state: BoxState, endpoint: Endpoint, held: EndpointState) -> int:
+def _running(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState) -> int:
     """Return the runs believed to be under way at an engine.
 
     A router's count may be too high where a sender could not tell that a run ended: no more can be there than
     the engine said, and were sent since.
     """
-    if held.report is None:
-        return held.in_flight
+    if endpoint_state.report is None:
+        return endpoint_state.in_flight
     if endpoint.id in state.routed_engines:
-        return min(held.in_flight, held.report.running + held.report.queued + len(held.sent_prompts))
-    return max(held.report.running, held.in_flight)
+        return min(
+            endpoint_state.in_flight,
+            endpoint_state.report.running + endpoint_state.report.queued + len(endpoint_state.sent_prompts),
+        )
+    return max(endpoint_state.report.running, endpoint_state.in_flight)
 
 
-def _waiting_tokens(state: BoxState, endpoint: Endpoint, held: EndpointState, now: float) -> float:
+def _waiting_tokens(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, now: float) -> float:
     """Return the prompt tokens that an engine has yet to read."""
     if endpoint.id in state.routed_engines:
-        return max(0.0, held.prefill_until - now) * PREFILL_TOKENS_S
-    return sum(held.waiting_tokens_by_request.values())
+        return max(0.0, endpoint_state.prefill_until - now) * PREFILL_TOKENS_S
+    return sum(endpoint_state.waiting_tokens_by_request.values())
 
 
-def _waiting_memory(report: EngineReport | None) -> float:
+def _queued_memory_tokens(report: EngineReport | None) -> float:
     """Return the memory that requests waiting at an engine will take once they are let in."""
     return 0.0 if report is None else float(report.queued * report.next_tokens)
 
@@ -81,7 +84,7 @@
         store
         for store in catalog.stores_by_id.values()
         if (holding := state.holdings.by_address.get(store.address)) is not None
-        and now - holding.heard_at < STORE_VIEW_S
+        and now - holding.heard_at < STORE_VIEW_TTL_S
     ]
 
 
--- a/stairquay/serving/pacing.py
+++ b/stairquay/serving/pacing.py
@@ -84,7 +84,7 @@
     state: BoxState,
     service: str,
     tried: Collection[str],
-    rests_s: Mapping[str, float],
+    backoffs_s: Mapping[str, float],
     now: float,
     random: Random,
 ) -> float | None:
@@ -99,15 +99,15 @@
         item for item in state.fleet.usable(service, now) if takes_work(state, item) and item.id not in tried
     ]
     bounds_by_id = {item.id: bounds for item in usable if (bounds := rate_bounds(state, item, now))}
-    held_back = [item for item in usable if item.id in bounds_by_id or item.id in rests_s]
-    pauses_s = [max(_pause_s(state, item, now, random), rests_s.get(item.id, 0.0)) for item in held_back]
+    held_back = [item for item in usable if item.id in bounds_by_id or item.id in backoffs_s]
+    pauses_s = [max(_pause_s(state, item, now, random), backoffs_s.get(item.id, 0.0)) for item in held_back]
     soonest_s = min((pause_s for pause_s in pauses_s if pause_s > 0), default=None)
     if soonest_s is None:
         return None
     per_s = sum(_retry_rate_per_s(state, item, bounds_by_id.get(item.id)) for item in held_back)
     delay_s = max(soonest_s, state.retry_at_by_service.get(service, NEVER) - now)
     only_cold = all(
-        limit_of(state.endpoint_state(item)) == UNLIMITED and item.id not in rests_s for item in held_back
+        limit_of(state.endpoint_state(item)) == UNLIMITED and item.id not in backoffs_s for item in held_back
     )
     max_delay_s = max(soonest_s, MAX_COLD_RETRY_S) if only_cold else soonest_s + RETRY_SPREAD_S
     if delay_s > max_delay_s:
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -18,7 +18,7 @@
 from stairquay.core.holdings import Key
 from stairquay.core.placement import read_s
 from stairquay.core.routers import Engine, engines_of
-from stairquay.serving.choosing import Choice, Wanted
+from stairquay.serving.choosing import Choice, ChoiceRequest
 from stairquay.serving.cold import cold_for_s
 from stairquay.serving.crash_rows import STALE_S
 from stairquay.serving.decisions import Decision
@@ -191,7 +191,7 @@
         parts = tuple(Part(part.id, part.tokens) for part in asked.parts)
         prompt = PromptShape(asked.model, parts, asked.tokens, asked.max_output)
         wall = WorkspaceRule(asked.wall, isolated=True) if asked.wall else None
-        wanted = Wanted(service, prompt, wall, frozenset(asked.tried), asked.box, rests_s)
+        wanted = ChoiceRequest(service, prompt, wall, frozenset(asked.tried), asked.box, rests_s)
         return choose_and_save(self.state, catalog, wanted, self.random)
 
     def _count(self, asked: PlaceRequest, choice: Choice) -> None:
--- a/stairquay/serving/saving.py
+++ b/stairquay/serving/saving.py
@@ -7,17 +7,19 @@
 
 from stairquay.core.call import Part, PromptShape
 from stairquay.core.catalog import Catalog, StoreShape
-from stairquay.serving.choosing import Choice, Wanted, choose
+from stairquay.serving.choosing import Choice, ChoiceRequest, choose_endpoint
+from stairquay.serving.engine_views import fresh_stores
 from stairquay.serving.state import BoxState
-from stairquay.serving.weighing import fresh_stores
 
 FULL_SHARE = 0.95
 """Share of a store box's room that is used: what others save at the same time is not yet known."""
 
 
-def choose_and_save(state: BoxState, catalog: Catalog, wanted: Wanted, random: Random) -> Choice | None:
+def choose_and_save(
+    state: BoxState, catalog: Catalog, wanted: ChoiceRequest, random: Random
+) -> Choice | None:
     """Return the best endpoint for a request, and which store boxes are to keep parts of its prompt."""
-    choice = choose(state, catalog, wanted, random)
+    choice = choose_endpoint(state, catalog, wanted, random)
     if choice is None or wanted.prompt is None:
         return choice
     return replace(choice, save_to=save_targets(state, catalog, wanted.prompt, choice))
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -94,7 +94,7 @@
     retry_at_by_service: dict[str, float] = field(default_factory=dict)
     suspected_until_by_id: dict[str, float] = field(default_factory=dict)
     limited: set[str] = field(default_factory=set)
-    resting: set[str] = field(default_factory=set)
+    backing_off: set[str] = field(default_factory=set)
     evacuated: frozenset[str] = frozenset()
     evacuated_revision: int = 0
     evacuation_ended_at_by_hall: dict[str, float] = field(default_factory=dict)
@@ -343,4 +343,4 @@
             ):
                 del self.endpoints_by_id[endpoint_id]
                 self.limited.discard(endpoint_id)
-                self.resting.discard(endpoint_id)
+                self.backing_off.discard(endpoint_id)
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -60,18 +60,18 @@
 ) -> None:
     """Take in for how long an endpoint wants nothing. Of rests that overlap, the one that ends last holds; it
     is over with an answer that asks for none, to a request sent after its end."""
-    rest = held.rest
+    rest = held.backoff
     if rest_s == 0:
         if rest is not None and sent_at >= rest.until:
-            held.rest = None
-            state.resting.discard(endpoint.id)
+            held.backoff = None
+            state.backing_off.discard(endpoint.id)
             state.log.line(Decision.REST, endpoint=endpoint.id, service=endpoint.service, outcome="ended")
         return
     if rest is not None and rest.until >= now + rest_s:
         return
     later_s = _own_turn_s(state, endpoint, held, rest_s)
-    held.rest = Rest(now + rest_s + later_s)
-    state.resting.add(endpoint.id)
+    held.backoff = Rest(now + rest_s + later_s)
+    state.backing_off.add(endpoint.id)
     state.log.line(
         Decision.REST,
         endpoint=endpoint.id,
@@ -142,22 +142,22 @@
     Where a rest is over and its first request is under way, that is about as long as its answer takes.
     """
     rests_s: dict[str, float] = {}
-    for name in state.resting:
+    for name in state.backing_off:
         held = state.endpoints_by_id.get(name)
-        if held is None or held.rest is None:
+        if held is None or held.backoff is None:
             continue
-        wait_s = held.rest.wait_s(now)
+        wait_s = held.backoff.wait_s(now)
         if wait_s > 0:
-            rests_s[name] = wait_s if now < held.rest.until else min(wait_s, held.response_time_s)
+            rests_s[name] = wait_s if now < held.backoff.until else min(wait_s, held.response_time_s)
     return rests_s
 
 
 def is_resting(held: EndpointState, now: float) -> bool:
     """Tell whether an endpoint has asked this box for rest that is not over."""
-    return held.rest is not None and now < held.rest.until
+    return held.backoff is not None and now < held.backoff.until
 
 
 def note_tried(held: EndpointState, now: float) -> None:
     """Take in that a request goes to an endpoint, which shows whether its rest is over."""
-    if held.rest is not None:
-        held.rest = replace(held.rest, tried_at=now)
+    if held.backoff is not None:
+        held.backoff = replace(held.backoff, tried_at=now)
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -11,16 +11,16 @@
 from stairquay.core.holdings import Key
 from stairquay.core.scope import parse_scope
 from stairquay.core.versions import VersionHistory
-from stairquay.serving.choosing import FETCH_S
+from stairquay.serving.choosing import FETCH_TIMEOUT_S
 from stairquay.serving.decisions import Decision
+from stairquay.serving.engine_views import fresh_stores
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
-from stairquay.serving.weighing import fresh_stores
 
 STEP_S = 1.0
 """Seconds between two looks: room is needed again soon after a version is everywhere."""
 
-SETTLED_S = FETCH_S + 2.0
+SETTLED_S = FETCH_TIMEOUT_S + 2.0
 """Seconds for which all engines must have run a newer version: every fetch begun before is over, and boxes
 that lagged behind know."""
 
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -10,14 +10,14 @@
 from stairquay.core.fleet import Endpoint
 from stairquay.core.rollout import EngineState
 from stairquay.core.routers import Member
-from stairquay.serving.choosing import Choice, Wanted, choose
+from stairquay.serving.choosing import Choice, ChoiceRequest, choose_endpoint
+from stairquay.serving.engine_views import best_sources, usable_sources
 from stairquay.serving.following import AGAIN_S, ROUTED_AGAIN_S, SINGLE_MISSES, again_s
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceRequest
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import EngineReport
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
-from stairquay.serving.weighing import best_sources, usable_sources
 from tests.states import box_state
 
 PROMPT = PromptShape("m", (Part("aa", 500), Part("bb", 300)), 800, 20)
@@ -41,7 +41,7 @@
 
 def chosen(state: BoxState, sender: str = "b-2") -> Choice:
     service = CATALOG.services_by_id["llm"]
-    choice = choose(state, CATALOG, Wanted(service, PROMPT, sender=sender), CHANCE)
+    choice = choose_endpoint(state, CATALOG, ChoiceRequest(service, PROMPT, sender=sender), CHANCE)
     assert choice is not None
     return choice
 
@@ -84,7 +84,9 @@
     state.routed_engines = frozenset()
     random = Random(3)
     service = CATALOG.services_by_id["llm"]
-    found = {choose(state, CATALOG, Wanted(service, PROMPT), random).endpoint.id for _ in range(60)}
+    found = {
+        choose_endpoint(state, CATALOG, ChoiceRequest(service, PROMPT), random).endpoint.id for _ in range(60)
+    }
     assert len(found) == 8
 
 
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -14,7 +14,7 @@
 from stairquay.core.catalog import Route
 from stairquay.core.errors import ErrorKind, Ran
 from stairquay.core.fleet import Endpoint as Listed
-from stairquay.serving.choosing import Choice, Wanted, choose
+from stairquay.serving.choosing import Choice, ChoiceRequest, choose_endpoint
 from stairquay.serving.crashes import CrashWatch
 from stairquay.serving.dispatch import Dispatcher
 from stairquay.serving.following import apply_endpoints
@@ -44,8 +44,8 @@
 
 
 def chosen(state: BoxState) -> bool:
-    wanted = Wanted(CATALOG.services_by_id["plain"], rests_s=rests_of(state, monotonic()))
-    return choose(state, CATALOG, wanted, Random(1)) is not None
+    wanted = ChoiceRequest(CATALOG.services_by_id["plain"], backoffs_s=rests_of(state, monotonic()))
+    return choose_endpoint(state, CATALOG, wanted, Random(1)) is not None
 
 
 def lapse_and_return(state: BoxState) -> None:
@@ -87,7 +87,7 @@
     state = knowing()
     hears(state, Statement(rest_s=2.0), 3.0)
     hears(state, Statement(), 0.5)
-    assert chosen(state) and not state.resting
+    assert chosen(state) and not state.backing_off
 
 
 def test_a_new_life_under_the_same_id_is_bound_by_nothing_that_the_last_one_said():
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -16,7 +16,7 @@
 from stairquay.platform.names import OWN_TABLE
 from stairquay.platform.rows import OwnRows, TableClient
 from stairquay.serving.boxes import PREFIX, BoxList
-from stairquay.serving.choosing import Wanted, choose
+from stairquay.serving.choosing import ChoiceRequest, choose_endpoint
 from stairquay.serving.following import apply_operators
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import EngineReport, OperatorChanges
@@ -122,8 +122,10 @@
     and engines take up to twice as long as predicted."""
     sent_by_tokens = {}
     for tokens in (100, 10_000, 30_000, 60_000):
-        wanted = Wanted(CATALOG.services_by_id["llm"], PromptShape("m", (Part("aa", tokens),), tokens, 20))
-        choice = choose(state_with_old_weights(11.0), CATALOG, wanted, Random(1))
+        wanted = ChoiceRequest(
+            CATALOG.services_by_id["llm"], PromptShape("m", (Part("aa", tokens),), tokens, 20)
+        )
+        choice = choose_endpoint(state_with_old_weights(11.0), CATALOG, wanted, Random(1))
         sent_by_tokens[tokens] = choice is not None
     assert sent_by_tokens == {100: True, 10_000: False, 30_000: False, 60_000: False}
 
