--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -204,25 +204,25 @@
 
     def endpoint_state(self, endpoint: Endpoint) -> EndpointState:
         """Return the state of an endpoint, a new one where its entry tells of a newer life."""
-        held = self.endpoints_by_id.get(endpoint.id)
-        if held is None:
-            held = self.endpoints_by_id[endpoint.id] = EndpointState(born=endpoint.born)
-        elif endpoint.born > held.born:
-            return self._reset_endpoint(endpoint, held, endpoint.born, "entry")
-        return held
+        endpoint_state = self.endpoints_by_id.get(endpoint.id)
+        if endpoint_state is None:
+            endpoint_state = self.endpoints_by_id[endpoint.id] = EndpointState(born=endpoint.born)
+        elif endpoint.born > endpoint_state.born:
+            return self._reset_endpoint(endpoint, endpoint_state, endpoint.born, "entry")
+        return endpoint_state
 
     def apply_report(self, endpoint: Endpoint, report: EngineReport, now: float) -> None:
         """Take in what an endpoint said of itself. News of a newer life may come so before its entry does: it
         has just started then, and counts as cold."""
-        held = self.endpoint_state(endpoint)
-        if 0 < report.born < held.born:
+        endpoint_state = self.endpoint_state(endpoint)
+        if 0 < report.born < endpoint_state.born:
             return
-        if report.born > held.born:
-            known = held
-            held = self._reset_endpoint(endpoint, held, report.born, "report")
-            if held is not known:
-                held.cold_until = now + self.cold_start_s(endpoint.service)
-        held.on_report(report, now)
+        if report.born > endpoint_state.born:
+            known = endpoint_state
+            endpoint_state = self._reset_endpoint(endpoint, endpoint_state, report.born, "report")
+            if endpoint_state is not known:
+                endpoint_state.cold_until = now + self.cold_start_s(endpoint.service)
+        endpoint_state.on_report(report, now)
 
     def cold_start_s(self, service: str) -> float:
         """Return for how many seconds the endpoints of a service are cold after a start."""
@@ -230,21 +230,23 @@
         return 0.0 if shape is None or shape.cold is None else shape.cold.start_s
 
     def _reset_endpoint(
-        self, endpoint: Endpoint, held: EndpointState, born: int, source: str
+        self, endpoint: Endpoint, endpoint_state: EndpointState, born: int, source: str
     ) -> EndpointState:
         """Drop all that was believed of an endpoint's last life; return the state of the new one.
 
         The first birth that is heard of is that of the life which is known already. What is under way at the
         old life goes on counting there.
         """
-        if not held.born:
-            held.born = born
-            return held
+        if not endpoint_state.born:
+            endpoint_state.born = born
+            return endpoint_state
         self.holdings.forget(endpoint.address)
-        self.log.line(Decision.BORN_ANEW, endpoint=endpoint.id, born=born, before=held.born, source=source)
-        anew = EndpointState(born=born, known_since=monotonic())
-        self.endpoints_by_id[endpoint.id] = anew
-        return anew
+        self.log.line(
+            Decision.BORN_ANEW, endpoint=endpoint.id, born=born, before=endpoint_state.born, source=source
+        )
+        new_state = EndpointState(born=born, known_since=monotonic())
+        self.endpoints_by_id[endpoint.id] = new_state
+        return new_state
 
     def version_of(self, endpoint: Endpoint, model: str) -> int:
         """Return the version of the weights an endpoint runs: no endpoint ever goes back."""
