--- a/stairquay/serving/cold.py
+++ b/stairquay/serving/cold.py
@@ -17,8 +17,8 @@
 
 def cold_limit_of(state: BoxState, endpoint: Endpoint) -> ColdLimit | None:
     """Return what an endpoint bears while it is cold, None where it bears as much as ever."""
-    shape = None if state.catalog is None else state.catalog.services_by_id.get(endpoint.service)
-    return None if shape is None else shape.cold
+    spec = None if state.catalog is None else state.catalog.services_by_id.get(endpoint.service)
+    return None if spec is None else spec.cold
 
 
 def cold_for_s(state: BoxState, endpoint: Endpoint, now: float) -> float:
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -226,8 +226,8 @@
 
     def cold_start_s(self, service: str) -> float:
         """Return for how many seconds the endpoints of a service are cold after a start."""
-        shape = None if self.catalog is None else self.catalog.services_by_id.get(service)
-        return 0.0 if shape is None or shape.cold is None else shape.cold.start_s
+        spec = None if self.catalog is None else self.catalog.services_by_id.get(service)
+        return 0.0 if spec is None or spec.cold is None else spec.cold.start_s
 
     def _reset_endpoint(
         self, endpoint: Endpoint, endpoint_state: EndpointState, born: int, source: str
