--- a/stairquay/serving/__init__.py
+++ b/stairquay/serving/__init__.py
@@ -1,1 +1,1 @@
-"""One process a box: callers' requests, decisions and orders on one loop."""
+"""The box process: serves callers, routes prompts for other boxes and carries out operators' orders."""
--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -1,4 +1,4 @@
-"""What a box believes of one endpoint: its load, its health, and whether it is cold."""
+"""The state of one endpoint as this box sees it: load, health, limits, and whether it is cold."""
 
 from collections import deque
 from contextlib import suppress
@@ -10,46 +10,47 @@
 from stairquay.serving.ports import EngineReport, Topic
 
 NEVER = float("-inf")
-"""A time before all others."""
+"""A time before any other."""
 
 FAILURE_WEIGHT = 0.2
-"""Weight of the newest outcome in an endpoint's share of failures: about the last five count."""
+"""Weight of the newest outcome in the moving average of an endpoint's failure rate."""
 
 FAILURE_HALF_LIFE_S = 2.0
-"""Seconds in which a share of failures halves without new outcomes, so that the endpoint is tried again."""
+"""Seconds in which a failure rate halves without new outcomes, so that the endpoint is tried again."""
 
 BUSY_BACKOFF_S = 0.25
-"""Seconds for which an endpoint that turned a request away is chosen last; an engine that loads weights
-does so for about two seconds, and its report tells after 0.2 to 0.5 s."""
+"""Seconds for which an endpoint that rejected a request is chosen last."""
 
 REPORT_INTERVAL_S = 0.45
-"""Seconds between two questions for an engine's state, which is itself 0.2 s old."""
+"""Seconds between two polls of an engine's state."""
 
 MAX_MISSED_REPORTS = 2.5
-"""Reports missed in a row after which an engine is chosen last."""
+"""Report intervals without a report after which an engine is chosen last."""
 
 SENT_PROMPT_TTL_S = 1.1
-"""Seconds for which a prompt that was sent counts towards an engine's memory where no report comes."""
+"""Seconds for which a sent prompt counts towards an engine's memory if no report arrives."""
 
 REPORT_LAG_S = 0.2
-"""Seconds by which an engine's report lags behind its state, as endpoints promise."""
+"""Seconds by which an engine's report may lag behind its state."""
 
 LIMIT_TTL_S = 600.0
-"""Seconds for which a limit is remembered after its endpoint's entry went: longer than any is away."""
+"""Seconds for which a rate limit is remembered for an endpoint that is no longer listed."""
 
 
 @dataclass
 class EndpointState:
-    """Load and health of one endpoint's life as this box sees it; times are monotonic seconds.
-
-    born: as for Endpoint; known_since: when this box learned of this life, NEVER for the first one it knew.
-    cold_until: until when it is cold; doubted_at: when it last was not to be reached, since when it may be
-    another life that nobody has told of, NEVER where a report came since. router_pace, alone_pace: how this
-    box spaces what it sends there while it takes only so much, as its router and where it decides alone.
-    limit: what its answers last said of its limit, None before any named one; limit_ended_at: when the last
-    one ended; rest: what it last asked this box for, None where it asked for none or that is over;
-    unreadable_by_topic: the last text of each kind that could not be read.
-    read_until: when the engine has read all that this box, as its router, placed there.
+    """Load and health of one incarnation of an endpoint as this box sees it; times are monotonic seconds.
+
+    born: as for Endpoint. known_since: when this box learned of this incarnation, NEVER for the first one it
+    knew. cold_until: when it stops being cold. unreachable_at: when it was last unreachable and may have
+    restarted unnoticed, NEVER after a report. router_pacer, standalone_pacer: pace what this box sends there
+    under a rate limit, as the endpoint's router and where it decides alone.
+
+    limit: the rate limit that it last reported, None before any; limit_ended_at: when the last one ended.
+    backoff: what it last asked this box for, None if it is over. unreadable_by_topic: the last unreadable
+    text of each topic.
+
+    prefill_until: when the engine will have read all that this box, as its router, placed there.
     """
 
     born: int = 0
@@ -76,7 +77,7 @@
     prefill_until: float = NEVER
 
     def on_report(self, report: EngineReport, now: float) -> None:
-        """Take in what the engine said about itself."""
+        """Record what the endpoint reported about itself."""
         self.report = report
         self.reported_at = now
         if report.born:
@@ -85,22 +86,22 @@
             self.cold_until = now + report.cold_s
 
     def on_placed(self, prefill_s: float, now: float) -> None:
-        """As its router, count the time that an engine takes to read a prompt after those before it."""
+        """As the engine's router, add the prefill time of a placed prompt to its queue."""
         self.prefill_until = max(self.prefill_until, now) + prefill_s
 
     def revert_placed(self, prefill_s: float, tokens: int, sent_at: float) -> None:
-        """Stop counting a prompt that the engine never read."""
+        """Undo on_placed and on_sent for a prompt that the engine never read."""
         self.prefill_until -= prefill_s
         with suppress(ValueError):
-            # A report may have come since, which does not count the prompt any more.
+            # It may have been removed already, by a report or by its age.
             self.sent_prompts.remove((sent_at, tokens))
 
     def on_sent(self, tokens: int, now: float) -> None:
-        """Count a prompt that was sent, until a report shows its memory."""
+        """Count the memory of a sent prompt until a report includes it."""
         self.sent_prompts.append((now, tokens))
 
     def used_tokens(self, now: float) -> float:
-        """Return the memory that runs hold: as last reported, and what this box sent since."""
+        """Return the memory in use in tokens: as last reported, plus prompts sent since."""
         while self.sent_prompts and self.sent_prompts[0][0] < self.reported_at - REPORT_LAG_S:
             self.sent_prompts.popleft()
         while self.sent_prompts and self.sent_prompts[0][0] < now - SENT_PROMPT_TTL_S:
@@ -109,21 +110,21 @@
         return float(reported + sum(tokens for _, tokens in self.sent_prompts))
 
     def on_outcome(self, failed: bool, now: float) -> None:
-        """Count an attempt that ended well or badly."""
+        """Update the failure rate with the outcome of an attempt."""
         self.failure_rate = self.current_failure_rate(now) * (1 - FAILURE_WEIGHT) + FAILURE_WEIGHT * failed
         self.failure_rate_at = now
 
     def current_failure_rate(self, now: float) -> float:
-        """Return the share of recent attempts that failed, fading with time."""
+        """Return the share of recent attempts that failed, decayed to the present."""
         if self.failure_rate == 0.0:
             return 0.0
         return float(self.failure_rate * 0.5 ** ((now - self.failure_rate_at) / FAILURE_HALF_LIFE_S))
 
     def has_active_limits(self, now: float) -> bool:
-        """Tell whether what the endpoint lately said still binds this box."""
+        """Tell whether a rate limit or a back-off of the endpoint still applies to this box."""
         limited = self.limit is not None and now - self.limit.heard_at < LIMIT_TTL_S
         return limited or (self.backoff is not None and self.backoff.wait_s(now) > 0)
 
     def silent(self, now: float) -> bool:
-        """Tell whether reports that used to come have stopped."""
+        """Tell whether reports that used to arrive have stopped."""
         return self.report is not None and now - self.reported_at > MAX_MISSED_REPORTS * REPORT_INTERVAL_S
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -1,4 +1,4 @@
-"""What one box believes: configuration, endpoints, their load, and who keeps which context."""
+"""The shared state of a box: configuration, endpoints and their load, other boxes, and cached context."""
 
 from dataclasses import dataclass, field
 
@@ -18,51 +18,55 @@
 from stairquay.serving.waking import Changes
 
 VERSION_DEADLINE_SHARE = 0.95
-"""Share of the time in which a version is to be everywhere after which no request may begin on older ones:
-the rest is for the request's way. Its predicted time to the first token counts besides."""
+"""Share of the rollout time of a version after which no request may start on an older one; the rest covers
+the request's way to the engine."""
 
 FIRST_TOKEN_MARGIN = 2.0
-"""Times by which a first token may come later than predicted: 1.6 to 2.0 at the median of each engine, where
-engines read at less than half of the speed that predictions assume."""
+"""Factor by which a first token may come later than predicted."""
 
 CLOCK_TOLERANCE_S = 0.25
-"""Seconds by which two boxes' times for the same naming may differ without a line in the log: clocks are
-compared over the network, and views are asked for a few times a second."""
+"""Seconds by which two boxes' times of the same change of a target version may differ without a log line."""
 
 MAX_VIEW_AGE_SHARE = 0.45
-"""Share of the time in which a configuration must be in force up to whose age a router's view is used. A box
-whose router then falls silent waits for 0.4 of it before it asks the table service itself."""
+"""Share of the time limit for applying a configuration or an evacuation up to which a router's view of it is
+used; the rest leaves time to ask the table service instead."""
 
 MAX_LIST_AGE_SHARE = 0.5
-"""The same for the list of endpoints, of the time in which new work for a leaving endpoint must stop."""
+"""Share of the drain time up to which a router's list of endpoints is used."""
 
 
 @dataclass
 class BoxState:
-    """Everything that the parts of the program share; there is one loop, so nothing is locked.
-
-    view_asked_at: when the question was asked that the newest answer about the configuration rests on.
-    viewed_before_start: the same of any box, before this one started; named_at_start: the versions that this
-    box's first view showed. namings_learned: rows of boxes were read, which tell when versions were named.
-    stopping: the stop signal came; refusing: what still arrives is refused, since it could not be finished.
-    boxes: boxes of ours believed alive; boxes_known_at: when their rows were first read.
-    clock_offset_ms: the endpoints' clock less this one's.
-    operators_revision, list_revision: the table service's revision that our view is complete up to;
-    operators_changed, list_changed: the revision at which it last changed. list_asked_at: like
-    view_asked_at, for the list of endpoints; list_unreached_at: when the table service itself last gave no
-    answer about it; list_passed_on: a router passed its newest answer on.
-    routers: boxes that route prompts for all, none before the boxes were read. routed_engines: the engines
-    that this box routes for. suspected_until_by_id: boxes that lately did not answer.
-    come_back_at_by_service: the latest time that a caller was told for whom all endpoints of a service had
-    got what they take.
-    limited: ids of endpoints that have named a limit, also where it has ended. resting: ids of those that
-    asked this box for rest, until it is known to be over.
-    evacuated: data halls whose endpoints are to get nothing; evacuated_revision: the table service's revision
-    up to which that is known; returned_at_by_hall: when such a hall might get work again.
-    unreadable: ids whose entries in the list name no endpoint.
-    changed: wakes who waits for a change of the configuration, the named versions, the evacuated halls, the
-    list, the routers or their silence, or for the stop; also where routers begin or cease to tell of crashes.
-    quarantine: requests that crash endpoints.
+    """State shared by all parts of a box. They run on one event loop, so nothing is locked.
+
+    view_asked_at, list_asked_at: when the newest configuration and list of endpoints were requested.
+    list_unreachable_at: when the table service last gave no answer about the list. list_from_router: a router
+    forwarded the newest list.
+
+    operators_revision, list_revision: the table service's revision up to which a view is complete;
+    operators_changed_revision, list_changed_revision: the revision at which it last changed.
+
+    target_version_by_model: the versions that the configuration names; target_versions_at_start: those in
+    this box's first view. version_history_known: rows of boxes were read, which tell when target versions
+    changed. last_view_before_start: when any box last requested a view before this one started.
+
+    boxes: ids of boxes believed alive; boxes_known_at: when their rows were first read. routers: boxes that
+    route prompts for all. routed_engines: ids of engines that this box routes for. suspected_until_by_id:
+    routers that recently did not answer.
+
+    retry_at_by_service: the latest retry time given to a refused caller. limited: ids of endpoints that have
+    reported a rate limit, including ended ones. backing_off: ids of endpoints that asked this box to back
+    off.
+
+    evacuated: data halls without new work, known up to evacuated_revision; evacuation_ended_at_by_hall: when
+    a hall was last taken back into service. unreadable: ids of malformed entries in the list.
+
+    clock_offset_ms: the endpoints' clock minus this one's. stopping: the stop signal came; refusing: new
+    requests are refused.
+
+    changed: notified when the configuration, target versions, evacuated halls, list, routers or their
+    suspicion change, when routers start or stop reporting crashes, and on stop. quarantine: requests that
+    crash endpoints.
     """
 
     settings: BoxSettings
@@ -108,34 +112,34 @@
     quarantine: Quarantine = field(init=False)
 
     def __post_init__(self) -> None:
-        """Begin with no request in quarantine."""
+        """Create the quarantine, which needs the log."""
         self.quarantine = Quarantine(self.log)
 
     def use_settings(self, settings: BoxSettings) -> None:
-        """Put changed settings in force; addresses keep until the next start."""
+        """Apply changed settings; addresses take effect at the next start."""
         self.settings = settings
         for budget in self.retry_budgets_by_service.values():
             budget.allowance = settings.repeats
 
     @property
     def is_router(self) -> bool:
-        """Tell whether this box is one of those that route for all, by their own view of engines."""
+        """Tell whether this box routes prompts for all boxes."""
         return any(router.id == self.settings.id for router in self.routers)
 
     @property
     def is_follower(self) -> bool:
-        """Tell whether this box is one of those that follow the table service for all."""
+        """Tell whether this box follows the table service for all boxes."""
         return any(router.id == self.settings.id for router in self.following_routers())
 
     @property
     def member(self) -> Member:
-        """Return this box as others see it."""
+        """Return this box as other boxes see it."""
         settings = self.settings
         box_capacity = capacity(settings.cores, settings.link_mbps)
         return Member(settings.id, settings.peer_address, box_capacity, settings.data_hall)
 
     def suspect(self, router: str, for_s: float) -> None:
-        """Pass a router over for a while that did not answer."""
+        """Skip a router that did not answer, for a number of seconds."""
         now = monotonic()
         known = self.suspected_until_by_id.get(router, NEVER) > now
         self.suspected_until_by_id[router] = now + for_s
@@ -143,17 +147,19 @@
             self.changed.happened()
 
     def live_routers(self) -> list[Member]:
-        """Return the routers that are not suspected of being gone; this box is never suspected."""
+        """Return the routers that are not suspected; this box never suspects itself."""
         now = monotonic()
         return [item for item in self.routers if self.suspected_until_by_id.get(item.id, NEVER) <= now]
 
     def following_routers(self) -> list[Member]:
-        """Return the routers that follow the table service now."""
+        """Return the routers that currently follow the table service."""
         return followers(self.live_routers())
 
     def placing_routers(self) -> list[Member]:
-        """Return the routers that place prompts now: not suspected, as far as there are engines, and none in
-        an evacuated data hall where there are others: its engines get nothing."""
+        """Return the routers that currently place prompts, as many as the number of engines warrants.
+
+        Routers in evacuated data halls are used only if there are no others.
+        """
         catalog = self.catalog
         if catalog is None:
             return []
@@ -170,40 +176,40 @@
         return monotonic() - self.list_asked_at
 
     def list_expired(self, age_s: float) -> bool:
-        """Tell whether a list of that age is too old to pass on: leaving endpoints must be known in time."""
+        """Tell whether a list of endpoints of that age is too old to forward."""
         return self.list_valid_for_s(age_s) < 0
 
     def list_valid_for_s(self, age_s: float) -> float:
-        """Return the seconds until a list of that age is too old to pass on."""
+        """Return the seconds until a list of endpoints of that age is too old to forward."""
         return self.settings.drain_s * MAX_LIST_AGE_SHARE - age_s
 
     def view_expired(self, age_s: float) -> bool:
-        """Tell whether a view of operators' rows of that age is too old to pass on."""
+        """Tell whether a view of operators' rows of that age is too old to forward."""
         return self.view_valid_for_s(age_s) < 0
 
     def view_valid_for_s(self, age_s: float) -> float:
-        """Return the seconds until a view of operators' rows of that age is too old to pass on."""
+        """Return the seconds until a view of operators' rows of that age is too old to forward."""
         return min(self.settings.apply_s, self.settings.evacuate_s) * MAX_VIEW_AGE_SHARE - age_s
 
     def view_age(self) -> float:
-        """Return the age of the configuration's view in seconds."""
+        """Return the age of the configuration in seconds."""
         return monotonic() - self.view_asked_at
 
     def keys_fresh(self) -> bool:
-        """Tell whether requests with a key may be sent: the key may have been taken away meanwhile."""
+        """Tell whether requests with a key may be sent; by an older view the key may have been revoked."""
         return self.view_age() < self.settings.freshness.keyed_s
 
     def ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Tell whether the load balancer should send callers here."""
         known = self.catalog is not None and self.fleet_known
         return known and not self.stopping and self.view_age() < self.settings.freshness.ready_s
 
     def should_close_connections(self) -> bool:
-        """Tell whether callers should use another box from now on: this one stops, or its view is old."""
+        """Tell whether callers should move to another box: this one is stopping, or its view is old."""
         return self.stopping or self.view_age() >= self.settings.freshness.ready_s
 
     def endpoint_state(self, endpoint: Endpoint) -> EndpointState:
-        """Return the state of an endpoint, a new one where its entry tells of a newer life."""
+        """Return the state of an endpoint, a new one if its entry shows a newer incarnation."""
         endpoint_state = self.endpoints_by_id.get(endpoint.id)
         if endpoint_state is None:
             endpoint_state = self.endpoints_by_id[endpoint.id] = EndpointState(born=endpoint.born)
@@ -212,8 +218,10 @@
         return endpoint_state
 
     def apply_report(self, endpoint: Endpoint, report: EngineReport, now: float) -> None:
-        """Take in what an endpoint said of itself. News of a newer life may come so before its entry does: it
-        has just started then, and counts as cold."""
+        """Record an endpoint's report, unless it is of an older incarnation.
+
+        A newer incarnation counts as cold: reports may show it before its entry does.
+        """
         endpoint_state = self.endpoint_state(endpoint)
         if 0 < report.born < endpoint_state.born:
             return
@@ -225,17 +233,17 @@
         endpoint_state.on_report(report, now)
 
     def cold_start_s(self, service: str) -> float:
-        """Return for how many seconds the endpoints of a service are cold after a start."""
+        """Return the seconds for which endpoints of a service are cold after a start."""
         spec = None if self.catalog is None else self.catalog.services_by_id.get(service)
         return 0.0 if spec is None or spec.cold is None else spec.cold.start_s
 
     def _reset_endpoint(
         self, endpoint: Endpoint, endpoint_state: EndpointState, born: int, source: str
     ) -> EndpointState:
-        """Drop all that was believed of an endpoint's last life; return the state of the new one.
+        """Replace the state of an endpoint that restarted, and return the new one.
 
-        The first birth that is heard of is that of the life which is known already. What is under way at the
-        old life goes on counting there.
+        The first start time heard of belongs to the known incarnation. Requests in flight keep counting in
+        the old state.
         """
         if not endpoint_state.born:
             endpoint_state.born = born
@@ -249,15 +257,15 @@
         return new_state
 
     def version_of(self, endpoint: Endpoint, model: str) -> int:
-        """Return the version of the weights an endpoint runs: no endpoint ever goes back."""
+        """Return the version of a model's weights that an endpoint runs; it never decreases."""
         state = self.endpoint_state(endpoint)
         reported = 0 if state.report is None else state.report.versions_by_model.get(model, 0)
         return max(endpoint.versions_by_model.get(model, 0), reported, state.version)
 
     def record_target_version(self, model: str, version: int, at: float, source: str) -> None:
-        """Note when a version was named; of what several boxes saw, the earliest time counts.
+        """Record when a version became the target; of the times that boxes saw, the earliest counts.
 
-        source: what tells so, for the log.
+        source: where the time comes from, for the log.
         """
         history = self.version_history_by_model.setdefault(model, VersionHistory())
         before = history.replaced_at(version - 1)
@@ -270,21 +278,22 @@
             )
 
     def last_view_at(self) -> float | None:
-        """Return when the last view that is known of was asked for: this box's own, or any box's before it
-        started. What the next view shows for the first time was named later."""
+        """Return when the last known view was requested, by this box or, before it started, by any box."""
         at = max(self.view_asked_at, self.last_view_before_start)
         return at if at > NEVER else None
 
     def record_view_before_start(self, at: float) -> None:
-        """Note when a box last had a view, before this one started: what that one did not show, and our first
-        one does, may have been named right after it. Without this, a version that is named while no box runs,
-        or right before all are lost, seems younger by the time without boxes."""
+        """Record when any box last requested a view before this one started.
+
+        Versions first seen in this box's first view may have become the target right after that.
+        """
         self.last_view_before_start = at
         for model, version in self.target_versions_at_start.items():
             self.record_target_version(model, version, at, "view before start")
 
     def saw_version_change(self, model: str, version: int) -> bool:
-        """Tell whether a version came between two views of this box: the first of them tells its age."""
+        """Tell whether a version became the target between two views of this box, which then knows its
+        age."""
         return (
             self.target_versions_at_start.get(model, 0)
             < version
@@ -292,7 +301,7 @@
         )
 
     def replaced_for_s(self, model: str, version: int) -> float:
-        """Return for how long a version has been replaced by newer ones, in seconds; 0 where it has not."""
+        """Return the seconds since a newer version became the target, 0 if there is none."""
         if version >= self.target_version_by_model.get(model, 0):
             return 0.0
         history = self.version_history_by_model.get(model)
@@ -300,7 +309,7 @@
         return 0.0 if replaced_at is None else monotonic() - replaced_at
 
     def oldest_replaced_s(self) -> float:
-        """Return for how long the oldest weights that an endpoint runs have been replaced, in seconds."""
+        """Return the seconds since the oldest version that an endpoint runs was replaced."""
         ages_s = (
             self.replaced_for_s(model, self.version_of(endpoint, model))
             for endpoint in self.fleet.live()
@@ -309,10 +318,9 @@
         return max(ages_s, default=0.0)
 
     def version_too_old(self, model: str, version: int, first_token_s: float = 0.0) -> bool:
-        """Tell whether a version was replaced so long ago that a run must not begin on it, with a first token
-        that is predicted after `first_token_s`.
+        """Tell whether a run must not start on a version, given the predicted seconds to its first token.
 
-        While a box that starts cannot know for how long, any version that was replaced counts as too old.
+        Until the version history is known, every replaced version counts as too old.
         """
         if not self.version_history_known:
             return version < self.target_version_by_model.get(model, 0)
@@ -321,20 +329,21 @@
         return replaced_s > 0 and begins_s > self.settings.versions_within_s * VERSION_DEADLINE_SHARE
 
     def retry_budget(self, service: str) -> WindowBudget:
-        """Return the budget for sending a service's requests again."""
+        """Return the retry budget of a service."""
         budget = self.retry_budgets_by_service.get(service)
         if budget is None:
             budget = self.retry_budgets_by_service[service] = WindowBudget(self.settings.repeats)
         return budget
 
     def take_retry(self, service: str) -> bool:
-        """Spend one repeat of a service's request, if the budget for that permits it."""
+        """Spend one retry of a service's budget, if it permits."""
         now = monotonic()
         known_s = now - self.boxes_known_at if self.boxes_known_at > NEVER else 0.0
         return self.retry_budget(service).take(now, len(self.boxes), known_s)
 
     def drop_removed_endpoints(self) -> None:
-        """Drop the state of endpoints that are no longer known, but for what they said that still binds."""
+        """Drop the state of endpoints that are no longer listed, except those with active limits or
+        requests."""
         now = monotonic()
         for endpoint_id in list(self.endpoints_by_id):
             state = self.endpoints_by_id[endpoint_id]
