--- a/stairquay/serving/choosing.py
+++ b/stairquay/serving/choosing.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint of a request from what the box believes."""
+"""Chooses the endpoint of a request by this box's view of load, health and cached context."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -25,28 +25,31 @@
 from stairquay.serving.state import BoxState
 
 CONNECTION_SHARE = 0.85
-"""Share of an endpoint's connections that our boxes use together; it resets those beyond its bound."""
+"""Share of an endpoint's connection limit that all boxes use together; it resets connections beyond the
+limit."""
 
 FETCH_TIMEOUT_S = 2.0
-"""Seconds after which a fetch is thrown away; a move that would wait longer is not begun at all."""
+"""Seconds after which a fetch of cached context is abandoned, or not started at all."""
 
 PREFERRED_SHARE = 0.25
-"""Share of a router's engines that a box sends to first: with 19 of them and 6 prompts a second it uses each
-connection about once a second, before an engine closes it as idle."""
+"""Share of a router's engines that a box prefers, so that it reuses connections before they are closed as
+idle."""
 
 RANDOM_CANDIDATES = 2
-"""Engines between which a box chooses that has no router to ask."""
+"""Engines drawn at random by a box that has no router to ask (power of two choices)."""
 
 OUTDATED_AFTER_S = 1.0
-"""Seconds after a version was named from which running on an older one costs value."""
+"""Seconds after which an engine on a replaced version counts as outdated."""
 
 
 @dataclass(frozen=True)
 class Choice:
-    """Where a request goes. placement is None for plain services.
+    """The endpoint chosen for a request; placement is None for plain services.
 
-    save_to: the store box that should keep each part of the prompt. router: the box that decided, empty
-    where this one did; ticket: the name under which it counts the prompt. again_s: ask again after so long.
+    alternative_s: predicted time to first token of the second best. backlog_s: the shortest wait at any
+    candidate. fetch_until_ms: deadline of fetches, by the endpoints' clock. save_to: for each part of the
+    prompt, the address of the store box that should save it. router: the box that decided, empty if this one
+    did; ticket: its id of the placement. again_s: ask again after this many seconds.
     """
 
     endpoint: Endpoint
@@ -64,10 +67,10 @@
 
 @dataclass(frozen=True)
 class ChoiceRequest:
-    """A request that needs an endpoint. prompt is None for plain services.
+    """A request that needs an endpoint; prompt is None for plain services.
 
-    tried: endpoints that it was sent to already. sender: the box that will send it, empty for this one.
-    rests_s: endpoints that want nothing from that box, and for how many seconds.
+    tried: ids of endpoints that it was sent to already. sender: the box that will send it, empty for this
+    one. backoffs_s: by endpoint id, the seconds of back-off left that it asked the sender for.
     """
 
     service: ServiceShape
@@ -81,7 +84,7 @@
 def choose_endpoint(
     state: BoxState, catalog: Catalog, request: ChoiceRequest, random: Random
 ) -> Choice | None:
-    """Return the best endpoint, or None where no endpoint can be used."""
+    """Return the best endpoint, or None if no endpoint can be used."""
     now = monotonic()
     candidates = _candidates(state, request, now, random)
     prompt, engine = request.prompt, request.service.engine
@@ -100,23 +103,23 @@
 
 
 def context_scope(workspace: WorkspaceRule | None, model: str, version: int) -> str:
-    """Return the name under which context is kept: of one model and version, and of one workspace where
-    that is isolated."""
+    """Return the scope in which context is cached: a model and version, and the workspace if it is
+    isolated."""
     isolated_workspace = workspace.id if workspace is not None and workspace.isolated else ""
     return Scope(isolated_workspace, model, version).name
 
 
 def _candidates(state: BoxState, request: ChoiceRequest, now: float, random: Random) -> list[Endpoint]:
-    """Return usable endpoints; those tried, turning work away or silent only where there are no others.
+    """Return usable endpoints: neither busy nor silent ones if there are any, else those not busy, else all.
 
-    None in an evacuated data hall, none that has got as much as it takes, and none that wants rest: also
-    where no other is.
+    Endpoints that were tried, are in an evacuated data hall or in back-off, or have reached their connection
+    or rate limit are never returned.
     """
     service, tried = request.service, request.tried
     max_connections = service.max_connections * CONNECTION_SHARE
 
     def has_connection(item: Endpoint) -> bool:
-        # A router counts what all boxes have under way at its engines, else a box counts its own.
+        # A router counts the requests of all boxes at its engines, any other box only its own.
         boxes = 1 if item.id in state.routed_engines else max(1, len(state.boxes))
         return state.endpoint_state(item).in_flight < max(2, int(max_connections / boxes))
 
@@ -136,18 +139,16 @@
 
 
 def _routed_or_sampled(state: BoxState, candidates: list[Endpoint], random: Random) -> list[Endpoint]:
-    """Return the engines to choose from: a router's own, and for boxes that no router answers two by chance.
+    """Return the engines that this box routes for, or if there are none, a random sample.
 
-    Choosing the best of all by an old view sends everyone to the same engine: in a simulation of 56 engines
-    with reports 0.2 to 0.95 s old, 3% of the prompts waited over 0.1 s with the better of two, 6% with one
-    by chance, 59% with the best of all, and none where one router counts what it sends.
+    By an outdated view, the best of all engines would be the same one for every box.
     """
     own = [item for item in candidates if item.id in state.routed_engines]
     return own or random.sample(candidates, min(RANDOM_CANDIDATES, len(candidates)))
 
 
 def _preferred_engines(sender: str, candidates: Sequence[Endpoint]) -> frozenset[str]:
-    """Return the engines that a box sends to first: some of them, other ones for each box."""
+    """Return the engines that a box prefers, a subset chosen by rendezvous hashing."""
     count = ceil(len(candidates) * PREFERRED_SHARE)
     return frozenset(ranked(sender.encode(), [item.id for item in candidates], count))
 
@@ -175,7 +176,7 @@
     candidates: Sequence[Endpoint],
     now: float,
 ) -> list[Placement]:
-    """Return a placement on each candidate that can begin before its weights are too old, the best first."""
+    """Return a placement on each candidate that can start before its version is too old, the best first."""
     model = prompt.model
     preferred = _preferred_engines(request.sender, candidates) if request.sender else None
     versions = {item.address: state.version_of(item, model) for item in candidates}
--- a/stairquay/serving/engine_views.py
+++ b/stairquay/serving/engine_views.py
@@ -1,4 +1,4 @@
-"""What a box believes of each engine that a prompt could run on, and of where kept context can be fetched."""
+"""Views of engines and sources of cached context, the input for placing a prompt."""
 
 from dataclasses import replace
 from heapq import nlargest
@@ -13,8 +13,8 @@
 from stairquay.serving.state import BoxState
 
 STORE_VIEW_TTL_S = 1.2
-"""Seconds without an answer after which a store box's view is not used any more: it may have started
-anew, and it does not check what it hands out."""
+"""Seconds without an answer after which a store box's content counts as unknown: it may have restarted, and
+it does not verify what it serves."""
 
 
 def engine_view(
@@ -27,9 +27,9 @@
     preferred: frozenset[str] | None,
     now: float,
 ) -> EngineView:
-    """Return what is known of an engine now, for one prompt.
+    """Return the current view of an engine for one prompt.
 
-    familiar: the engines that the sender sends to first, None where that does not matter.
+    preferred: ids of the engines that the sender prefers, None if it has no preference.
     """
     endpoint_state = state.endpoint_state(endpoint)
     used_tokens = endpoint_state.used_tokens(now) + _queued_memory_tokens(endpoint_state.report)
@@ -50,10 +50,9 @@
 
 
 def _running(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState) -> int:
-    """Return the runs believed to be under way at an engine.
+    """Return the estimated number of runs at an engine.
 
-    A router's count may be too high where a sender could not tell that a run ended: no more can be there than
-    the engine said, and were sent since.
+    A router may miss the end of a run, so its count is capped by the last report plus the prompts sent since.
     """
     if endpoint_state.report is None:
         return endpoint_state.in_flight
@@ -66,19 +65,19 @@
 
 
 def _waiting_tokens(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, now: float) -> float:
-    """Return the prompt tokens that an engine has yet to read."""
+    """Return the prompt tokens whose prefill an engine has not finished."""
     if endpoint.id in state.routed_engines:
         return max(0.0, endpoint_state.prefill_until - now) * PREFILL_TOKENS_S
     return sum(endpoint_state.waiting_tokens_by_request.values())
 
 
 def _queued_memory_tokens(report: EngineReport | None) -> float:
-    """Return the memory that requests waiting at an engine will take once they are let in."""
+    """Return the memory in tokens that requests queued at an engine will take."""
     return 0.0 if report is None else float(report.queued * report.next_tokens)
 
 
 def fresh_stores(state: BoxState, catalog: Catalog) -> list[StoreShape]:
-    """Return the store boxes whose content is known now."""
+    """Return the store boxes whose content is currently known."""
     now = monotonic()
     return [
         store
@@ -89,10 +88,10 @@
 
 
 def usable_sources(state: BoxState, catalog: Catalog, engine: EngineShape, now: float) -> dict[str, Source]:
-    """Return by address what context can be fetched from now, each as a source of no tokens yet."""
+    """Return by address the sources that context can be fetched from now, with no tokens yet."""
     by_address: dict[str, Source] = {}
     for endpoint in state.fleet.live():
-        # An evacuated hall may be about to lose its power: a source that is gone costs some hundred ms.
+        # An evacuated data hall may lose power, and a fetch from a lost source is slow to fail.
         if endpoint.data_hall not in state.evacuated and not state.endpoint_state(endpoint).silent(now):
             by_address[endpoint.address] = Source(endpoint.address, 0, engine.link_bytes_s)
     for store in fresh_stores(state, catalog):
@@ -101,11 +100,9 @@
 
 
 def best_sources(state: BoxState, usable: dict[str, Source], scope: str, part: Part) -> list[Source]:
-    """Return the best source of a part, and the one for an engine that is the best source itself.
+    """Return the two best sources of a part: an engine that is itself the best needs the second.
 
-    A store box goes before an engine with a quicker link: engines drop parts that nobody reads to make room
-    for runs, so that a fetch misses and all is read again. Worth 0.011 of the payoff owed at high load (error
-    0.006, 6 paired runs); shared parts read again fall by a tenth.
+    Of equal sources a store box comes first, since engines evict parts that are not in use.
     """
     found = []
     for holder in state.holdings.holders(scope, part.id):
