--- a/stairquay/serving/cold.py
+++ b/stairquay/serving/cold.py
@@ -1,7 +1,7 @@
-"""Which endpoints are cold.
+"""Tells which endpoints are cold, and take fewer requests for some time after a start.
 
-News of coldness is up to three seconds old, so that endpoints count as cold, too, which may be: those that
-were not to be reached and may have started again, and those of a data hall whose evacuation was taken back.
+Endpoints that may have restarted unnoticed count as cold too: those that were unreachable, and those of a
+data hall whose evacuation has just ended.
 """
 
 from stairquay.core.cold import ColdLimit
@@ -10,19 +10,18 @@
 from stairquay.serving.state import BoxState
 
 POST_EVACUATION_COLD_S = 2.0
-"""Seconds for which endpoints count as cold after the evacuation of their data hall was taken back, whatever
-their entries say: an entry is written about each 1.2 s and comes 0.8 s late. They stand empty, so that
-without this each of them would look like the best one to every router at once."""
+"""Seconds for which endpoints count as cold after their data hall's evacuation ended. Their entries lag, and
+every router would otherwise choose these idle endpoints at once."""
 
 
 def cold_limit_of(state: BoxState, endpoint: Endpoint) -> ColdLimit | None:
-    """Return what an endpoint bears while it is cold, None where it bears as much as ever."""
+    """Return the limit of an endpoint while it is cold, None if its service has none."""
     spec = None if state.catalog is None else state.catalog.services_by_id.get(endpoint.service)
     return None if spec is None else spec.cold
 
 
 def cold_for_s(state: BoxState, endpoint: Endpoint, now: float) -> float:
-    """Return for how many more seconds an endpoint counts as cold, 0 where it does not."""
+    """Return the seconds for which an endpoint still counts as cold, 0 if it does not."""
     limit = cold_limit_of(state, endpoint)
     if limit is None:
         return 0.0
--- a/stairquay/serving/evacuation.py
+++ b/stairquay/serving/evacuation.py
@@ -1,4 +1,4 @@
-"""Data halls whose endpoints operators want to get nothing, for as long as they do."""
+"""Tracks which data halls operators have evacuated; their endpoints get no new work."""
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.fleet import Endpoint
@@ -8,11 +8,10 @@
 
 
 def apply_evacuations(state: BoxState, changes: OperatorChanges) -> None:
-    """Take in which data halls are evacuated.
+    """Apply changes of the evacuated data halls, unless they are older than what this box knows.
 
-    A view that is older than the one this box has says nothing: a router that lags behind would send work
-    back to a hall that this box knows to be evacuated. Without any newer view, the last one holds, however
-    old: an evacuation that cannot be asked about is taken to stand.
+    A router that lags behind must not send work back to an evacuated hall. Without newer changes an
+    evacuation stays in force, however old it is.
     """
     if changes.revision < state.evacuated_revision:
         return
@@ -28,7 +27,7 @@
 
 
 def takes_work(state: BoxState, endpoint: Endpoint) -> bool:
-    """Tell whether an endpoint may get new work now: it is not known to be leaving, and its hall stays."""
+    """Tell whether an endpoint may get new work: it is not leaving, and its data hall is not evacuated."""
     known = state.fleet.by_id.get(endpoint.id, endpoint)
     return not state.fleet.leaves(known) and known.data_hall not in state.evacuated
 
--- a/stairquay/serving/pacing.py
+++ b/stairquay/serving/pacing.py
@@ -1,7 +1,6 @@
-"""How many requests this box may send to an endpoint that takes only so many a second from all boxes.
+"""Paces this box's requests to endpoints whose request rate is limited over all boxes.
 
-Every choice of an endpoint asks here first, and every request that goes to one is counted here: prompts that
-a router places, what a box decides alone, plain requests, repeats and streams that go on elsewhere.
+Each choice of an endpoint checks the pace here, and each request sent to one is counted here.
 """
 
 from collections.abc import Collection, Mapping
@@ -17,22 +16,21 @@
 from stairquay.serving.statements import limit_of
 
 ASSUMED_BOXES = 300
-"""Boxes that a box counts with before it has read who else is there: as many as a fleet may have, so that
-hundreds that start at once do not each take the whole for their own share."""
+"""Boxes assumed until their rows are read: as many as a fleet may have, so that boxes that start together
+stay within an endpoint's rate."""
 
 MAX_COLD_RETRY_S = 2.0
-"""Longest time after which a caller refused for cold endpoints should come back: starts take seconds, and one
-endpoint that is warm again takes all who wait."""
+"""Longest Retry-After in seconds where only cold endpoints hold requests back."""
 
 MIN_RESPONSE_TIME_S = 0.01
-"""Shortest time that an answer is believed to take where callers are told when to come."""
+"""Lowest response time in seconds assumed when a Retry-After is computed."""
 
 RETRY_SPREAD_S = 3.0
-"""Longest time by which callers that are refused together are told to come one after the other."""
+"""Longest time in seconds over which the retries of callers refused together are spread."""
 
 
 def rate_bounds(state: BoxState, endpoint: Endpoint, now: float) -> list[Bound]:
-    """Return what bounds the work of an endpoint now; nothing does usually."""
+    """Return the bounds on an endpoint's request rate now; usually there are none."""
     bounds = []
     limit_per_s = limit_of(state.endpoint_state(endpoint))
     if limit_per_s < UNLIMITED:
@@ -44,7 +42,7 @@
 
 
 def wait_s(state: BoxState, endpoint: Endpoint, now: float, random: Random) -> float:
-    """Return the seconds until this box may send a request to an endpoint, 0 where it may do so now."""
+    """Return the seconds until this box may send a request to an endpoint, 0 if it may now."""
     bounds = rate_bounds(state, endpoint, now)
     if not bounds:
         return 0.0
@@ -56,8 +54,8 @@
 
 
 def count_sent(state: BoxState, endpoint: Endpoint, now: float, random: Random) -> bool:
-    """Count a request that goes to an endpoint, if that takes only so many; tell whether it was counted as by
-    its router."""
+    """Count a request sent to an endpoint with a bounded rate; tell whether it was counted as by its
+    router."""
     bounds = rate_bounds(state, endpoint, now)
     if not bounds:
         return False
@@ -70,13 +68,13 @@
 
 
 def refund_sent(endpoint_state: EndpointState) -> None:
-    """As its router, stop counting a request that never reached an endpoint."""
+    """As the endpoint's router, undo count_sent for a request that never reached it."""
     if endpoint_state.router_pacer is not None:
         endpoint_state.router_pacer.take_back()
 
 
 def box_rate_per_s(state: BoxState, endpoint: Endpoint, bounds: list[Bound]) -> float:
-    """Return the requests a second that this box may send to an endpoint, by the strictest of its bounds."""
+    """Return the requests per second that this box may send to an endpoint, by its strictest bound."""
     return min(bound.per_s * _box_share(state, endpoint, bound) for bound in bounds)
 
 
@@ -88,12 +86,11 @@
     now: float,
     random: Random,
 ) -> float | None:
-    """Return the seconds after which a caller that is refused should come back, None where no endpoint of the
-    service is held back by a bound, or wants rest.
+    """Return the seconds after which a refused caller should retry, None if no endpoint is paced or in
+    back-off.
 
-    tried: endpoints that the request was sent to already. rests_s: those that want nothing from the box that
-    would send it, and for how long. Callers that are refused together are told times one after the other, as
-    the endpoints take them: all told the same time, all but the first would be refused again.
+    tried: ids of endpoints that the request was sent to already. backoffs_s: by endpoint id, the seconds of
+    back-off left. Callers that are refused together get staggered times, at the rate that endpoints accept.
     """
     usable = [
         item for item in state.fleet.usable(service, now) if takes_work(state, item) and item.id not in tried
@@ -117,8 +114,8 @@
 
 
 def _retry_rate_per_s(state: BoxState, endpoint: Endpoint, bounds: list[Bound] | None) -> float:
-    """Return the requests a second that an endpoint takes later of those that this box refuses now: by its
-    bounds, or by its places and how long an answer takes."""
+    """Return the retries per second that an endpoint accepts from this box: by its bounds, else by its slots
+    and response time."""
     if bounds:
         return box_rate_per_s(state, endpoint, bounds)
     boxes = 1 if endpoint.id in state.routed_engines else max(1, len(state.boxes))
@@ -126,7 +123,8 @@
 
 
 def _pause_s(state: BoxState, endpoint: Endpoint, now: float, random: Random) -> float:
-    """Return the seconds until an endpoint takes a request of this box: a cold one may be warm before."""
+    """Return the seconds until an endpoint accepts a request from this box; a cold one may be warm
+    earlier."""
     pause_s = wait_s(state, endpoint, now, random)
     if limit_of(state.endpoint_state(endpoint)) < UNLIMITED:
         return pause_s
