--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -16,8 +16,8 @@
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.placement import EngineView, Placement
 from stairquay.core.routers import Member, routers_for
-from stairquay.serving.choosing import Choice, ChoiceRequest
 from stairquay.serving.decisions import Decision
+from stairquay.serving.endpoint_choice import Choice, ChoiceRequest
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.links import Links
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -12,9 +12,9 @@
 from stairquay.core.catalog import urgency
 from stairquay.core.errors import ErrorKind, Ran, Refusal
 from stairquay.serving.asking import Chooser
-from stairquay.serving.choosing import Choice
 from stairquay.serving.crashes import CrashWatch
 from stairquay.serving.endpoint import BUSY_BACKOFF_S
+from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.messages import Outcome
--- a/stairquay/serving/choosing.py
+++ b/stairquay/serving/endpoint_choice.py
@@ -126,16 +126,16 @@
     accepting = [item for item in state.fleet.usable(service.id, now) if takes_work(state, item)]
     available = [item for item in accepting if item.id not in request.backoffs_s]
     usable = [item for item in available if has_connection(item) and wait_s(state, item, now, random) <= 0]
-    fresh = [item for item in usable if item.id not in tried]
-    if tried and not fresh:
+    untried = [item for item in usable if item.id not in tried]
+    if tried and not untried:
         return []
     not_busy = [
         item
-        for item in fresh
+        for item in untried
         if state.endpoint_state(item).refused_until <= now and not _is_busy(state, item)
     ]
     reporting = [item for item in not_busy if not state.endpoint_state(item).silent(now)]
-    return reporting or not_busy or fresh
+    return reporting or not_busy or untried
 
 
 def _routed_or_sampled(state: BoxState, candidates: list[Endpoint], random: Random) -> list[Endpoint]:
--- a/stairquay/serving/jobs.py
+++ b/stairquay/serving/jobs.py
@@ -7,8 +7,8 @@
 from stairquay.core.call import Call, request_digest
 from stairquay.core.catalog import Catalog, Route, ServiceShape, WorkspaceRule
 from stairquay.core.errors import Ran
-from stairquay.serving.choosing import Choice
 from stairquay.serving.endpoint import EndpointState
+from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.ports import Reply, SendFailure
 from stairquay.serving.relay import StreamProgress
 
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -4,8 +4,8 @@
 from stairquay.core.errors import Ran, Refusal
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.placement import Placement
-from stairquay.serving.choosing import Choice
 from stairquay.serving.decisions import Decision
+from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.ports import Reply, SendFailure, Statement
 from stairquay.serving.state import BoxState
--- a/stairquay/serving/refusals.py
+++ b/stairquay/serving/refusals.py
@@ -1,7 +1,7 @@
 """Refusals of requests that could not be served, with answers that promise no more than is known."""
 
 from stairquay.core.errors import ErrorKind, Ran, Refusal
-from stairquay.serving.choosing import Choice
+from stairquay.serving.endpoint_choice import Choice
 
 RETRY_AFTER_S = 0.25
 """Seconds after which a refused caller should come back: about the time an endpoint needs for a batch."""
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -18,11 +18,11 @@
 from stairquay.core.holdings import Key
 from stairquay.core.placement import read_s
 from stairquay.core.routers import Engine, engines_of
-from stairquay.serving.choosing import Choice, ChoiceRequest
 from stairquay.serving.cold import cold_for_s
 from stairquay.serving.crash_rows import STALE_S
 from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import BUSY_BACKOFF_S, EndpointState
+from stairquay.serving.endpoint_choice import Choice, ChoiceRequest
 from stairquay.serving.links import Answers, serve
 from stairquay.serving.messages import (
     CrashesTold,
--- a/stairquay/serving/saving.py
+++ b/stairquay/serving/saving.py
@@ -7,7 +7,7 @@
 
 from stairquay.core.call import Part, PromptShape
 from stairquay.core.catalog import Catalog, StoreShape
-from stairquay.serving.choosing import Choice, ChoiceRequest, choose_endpoint
+from stairquay.serving.endpoint_choice import Choice, ChoiceRequest, choose_endpoint
 from stairquay.serving.engine_views import fresh_stores
 from stairquay.serving.state import BoxState
 
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -11,8 +11,8 @@
 from stairquay.core.holdings import Key
 from stairquay.core.scope import parse_scope
 from stairquay.core.versions import VersionHistory
-from stairquay.serving.choosing import FETCH_TIMEOUT_S
 from stairquay.serving.decisions import Decision
+from stairquay.serving.endpoint_choice import FETCH_TIMEOUT_S
 from stairquay.serving.engine_views import fresh_stores
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -10,7 +10,7 @@
 from stairquay.core.fleet import Endpoint
 from stairquay.core.rollout import EngineState
 from stairquay.core.routers import Member
-from stairquay.serving.choosing import Choice, ChoiceRequest, choose_endpoint
+from stairquay.serving.endpoint_choice import Choice, ChoiceRequest, choose_endpoint
 from stairquay.serving.engine_views import best_sources, usable_sources
 from stairquay.serving.following import AGAIN_S, ROUTED_AGAIN_S, SINGLE_MISSES, again_s
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceRequest
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -14,9 +14,9 @@
 from stairquay.core.catalog import Route
 from stairquay.core.errors import ErrorKind, Ran
 from stairquay.core.fleet import Endpoint as Listed
-from stairquay.serving.choosing import Choice, ChoiceRequest, choose_endpoint
 from stairquay.serving.crashes import CrashWatch
 from stairquay.serving.dispatch import Dispatcher
+from stairquay.serving.endpoint_choice import Choice, ChoiceRequest, choose_endpoint
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.messages import Outcome
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -16,7 +16,7 @@
 from stairquay.platform.names import OWN_TABLE
 from stairquay.platform.rows import OwnRows, TableClient
 from stairquay.serving.boxes import PREFIX, BoxList
-from stairquay.serving.choosing import ChoiceRequest, choose_endpoint
+from stairquay.serving.endpoint_choice import ChoiceRequest, choose_endpoint
 from stairquay.serving.following import apply_operators
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import EngineReport, OperatorChanges
