--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -1,4 +1,4 @@
-"""The state of one endpoint as this box sees it: load, health, limits, and whether it is cold."""
+"""The load, health and limits of one endpoint as this box sees them."""
 
 from collections import deque
 from contextlib import suppress
@@ -16,7 +16,7 @@
 """Weight of the newest outcome in the moving average of an endpoint's failure rate."""
 
 FAILURE_HALF_LIFE_S = 2.0
-"""Seconds in which a failure rate halves without new outcomes, so that the endpoint is tried again."""
+"""Seconds in which a failure rate halves without new outcomes."""
 
 BUSY_BACKOFF_S = 0.25
 """Seconds for which an endpoint that rejected a request is chosen last."""
@@ -39,18 +39,14 @@
 
 @dataclass
 class EndpointState:
-    """Load and health of one incarnation of an endpoint as this box sees it; times are monotonic seconds.
+    """State of one incarnation of an endpoint; times are monotonic seconds.
 
     born: as for Endpoint. known_since: when this box learned of this incarnation, NEVER for the first one it
-    knew. cold_until: when it stops being cold. unreachable_at: when it was last unreachable and may have
-    restarted unnoticed, NEVER after a report. router_pacer, standalone_pacer: pace what this box sends there
-    under a rate limit, as the endpoint's router and where it decides alone.
-
-    limit: the rate limit that it last reported, None before any; limit_ended_at: when the last one ended.
-    backoff: what it last asked this box for, None if it is over. unreadable_by_topic: the last unreadable
-    text of each topic.
-
-    prefill_until: when the engine will have read all that this box, as its router, placed there.
+    knew. unreachable_at: when it was last unreachable and may have restarted unnoticed, NEVER after a report.
+    router_pacer, standalone_pacer: used under a rate limit, as the endpoint's router and where this box
+    decides alone. limit: the last one reported, None before any. backoff: what it last asked this box for,
+    None if it is over. unreadable_by_topic: the last unreadable text of each. prefill_until: when the engine
+    will have read all that this box, as its router, placed there.
     """
 
     born: int = 0
@@ -101,7 +97,7 @@
         self.sent_prompts.append((now, tokens))
 
     def used_tokens(self, now: float) -> float:
-        """Return the memory in use in tokens: as last reported, plus prompts sent since."""
+        """Return the memory in use: as last reported, plus prompts sent since."""
         while self.sent_prompts and self.sent_prompts[0][0] < self.reported_at - REPORT_LAG_S:
             self.sent_prompts.popleft()
         while self.sent_prompts and self.sent_prompts[0][0] < now - SENT_PROMPT_TTL_S:
@@ -115,13 +111,13 @@
         self.failure_rate_at = now
 
     def current_failure_rate(self, now: float) -> float:
-        """Return the share of recent attempts that failed, decayed to the present."""
+        """Return the failure rate, decayed to the present."""
         if self.failure_rate == 0.0:
             return 0.0
         return float(self.failure_rate * 0.5 ** ((now - self.failure_rate_at) / FAILURE_HALF_LIFE_S))
 
     def has_active_limits(self, now: float) -> bool:
-        """Tell whether a rate limit or a back-off of the endpoint still applies to this box."""
+        """Tell whether a rate limit or back-off still applies to this box."""
         limited = self.limit is not None and now - self.limit.heard_at < LIMIT_TTL_S
         return limited or (self.backoff is not None and self.backoff.wait_s(now) > 0)
 
--- a/stairquay/serving/endpoint_choice.py
+++ b/stairquay/serving/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint of a request by this box's view of load, health and cached context."""
+"""Chooses the endpoint of a request by load, health and cached context."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -25,18 +25,16 @@
 from stairquay.serving.state import BoxState
 
 CONNECTION_SHARE = 0.85
-"""Share of an endpoint's connection limit that all boxes use together; it resets connections beyond the
-limit."""
+"""Share of an endpoint's connection limit that all boxes use together."""
 
 FETCH_TIMEOUT_S = 2.0
-"""Seconds after which a fetch of cached context is abandoned, or not started at all."""
+"""Seconds after which a fetch of cached context is abandoned, or not started."""
 
 PREFERRED_SHARE = 0.25
-"""Share of a router's engines that a box prefers, so that it reuses connections before they are closed as
-idle."""
+"""Share of a router's engines that a box prefers, to reuse connections before they are closed as idle."""
 
 RANDOM_CANDIDATES = 2
-"""Engines drawn at random by a box that has no router to ask (power of two choices)."""
+"""Engines drawn at random by a box without a router (power of two choices)."""
 
 OUTDATED_AFTER_S = 1.0
 """Seconds after which an engine on a replaced version counts as outdated."""
@@ -46,10 +44,10 @@
 class Choice:
     """The endpoint chosen for a request; placement is None for plain services.
 
-    alternative_s: predicted time to first token of the second best. backlog_s: the shortest wait at any
-    candidate. fetch_until_ms: deadline of fetches, by the endpoints' clock. save_to: for each part of the
-    prompt, the address of the store box that should save it. router: the box that decided, empty if this one
-    did; ticket: its id of the placement. again_s: ask again after this many seconds.
+    alternative_s: predicted time to first token of the second best. backlog_s: shortest wait at any
+    candidate. fetch_until_ms: by the endpoints' clock. save_to: the store box address for each part of the
+    prompt. router: the box that decided, empty for this one; ticket: its id of the placement. again_s: ask
+    again after this many seconds.
     """
 
     endpoint: Endpoint
@@ -69,8 +67,8 @@
 class ChoiceRequest:
     """A request that needs an endpoint; prompt is None for plain services.
 
-    tried: ids of endpoints that it was sent to already. sender: the box that will send it, empty for this
-    one. backoffs_s: by endpoint id, the seconds of back-off left that it asked the sender for.
+    tried: ids of endpoints that it was sent to. sender: the box that will send it, empty for this one.
+    backoffs_s: by endpoint id, the seconds of back-off left for the sender.
     """
 
     service: ServiceShape
@@ -103,8 +101,7 @@
 
 
 def context_scope(workspace: WorkspaceRule | None, model: str, version: int) -> str:
-    """Return the scope in which context is cached: a model and version, and the workspace if it is
-    isolated."""
+    """Return the cache scope of a model version, which is per workspace if that is isolated."""
     isolated_workspace = workspace.id if workspace is not None and workspace.isolated else ""
     return Scope(isolated_workspace, model, version).name
 
@@ -112,8 +109,7 @@
 def _candidates(state: BoxState, request: ChoiceRequest, now: float, random: Random) -> list[Endpoint]:
     """Return usable endpoints: neither busy nor silent ones if there are any, else those not busy, else all.
 
-    Endpoints that were tried, are in an evacuated data hall or in back-off, or have reached their connection
-    or rate limit are never returned.
+    Never returns ones that were tried, back off, are being evacuated, or are at a connection or rate limit.
     """
     service, tried = request.service, request.tried
     max_connections = service.max_connections * CONNECTION_SHARE
@@ -141,14 +137,14 @@
 def _routed_or_sampled(state: BoxState, candidates: list[Endpoint], random: Random) -> list[Endpoint]:
     """Return the engines that this box routes for, or if there are none, a random sample.
 
-    By an outdated view, the best of all engines would be the same one for every box.
+    By an outdated view, all boxes would choose the same best engine.
     """
     own = [item for item in candidates if item.id in state.routed_engines]
     return own or random.sample(candidates, min(RANDOM_CANDIDATES, len(candidates)))
 
 
 def _preferred_engines(sender: str, candidates: Sequence[Endpoint]) -> frozenset[str]:
-    """Return the engines that a box prefers, a subset chosen by rendezvous hashing."""
+    """Return the engines that a box prefers, by rendezvous hashing."""
     count = ceil(len(candidates) * PREFERRED_SHARE)
     return frozenset(ranked(sender.encode(), [item.id for item in candidates], count))
 
@@ -176,7 +172,7 @@
     candidates: Sequence[Endpoint],
     now: float,
 ) -> list[Placement]:
-    """Return a placement on each candidate that can start before its version is too old, the best first."""
+    """Return placements on candidates that can start before their version is too old, the best first."""
     model = prompt.model
     preferred = _preferred_engines(request.sender, candidates) if request.sender else None
     versions = {item.address: state.version_of(item, model) for item in candidates}
--- a/stairquay/serving/pacing.py
+++ b/stairquay/serving/pacing.py
@@ -16,8 +16,7 @@
 from stairquay.serving.statements import limit_of
 
 ASSUMED_BOXES = 300
-"""Boxes assumed until their rows are read: as many as a fleet may have, so that boxes that start together
-stay within an endpoint's rate."""
+"""Boxes assumed until their rows are read: as many as a fleet may have."""
 
 MAX_COLD_RETRY_S = 2.0
 """Longest Retry-After in seconds where only cold endpoints hold requests back."""
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -1,4 +1,4 @@
-"""The shared state of a box: configuration, endpoints and their load, other boxes, and cached context."""
+"""The shared state of a box: configuration, endpoints, other boxes and cached context."""
 
 from dataclasses import dataclass, field
 
@@ -18,18 +18,18 @@
 from stairquay.serving.waking import Changes
 
 VERSION_DEADLINE_SHARE = 0.95
-"""Share of the rollout time of a version after which no request may start on an older one; the rest covers
-the request's way to the engine."""
+"""Share of a version's rollout time after which no request may start on an older one; the rest covers the
+request's way."""
 
 FIRST_TOKEN_MARGIN = 2.0
 """Factor by which a first token may come later than predicted."""
 
 CLOCK_TOLERANCE_S = 0.25
-"""Seconds by which two boxes' times of the same change of a target version may differ without a log line."""
+"""Seconds by which boxes' times of a target version may differ without a log line."""
 
 MAX_VIEW_AGE_SHARE = 0.45
-"""Share of the time limit for applying a configuration or an evacuation up to which a router's view of it is
-used; the rest leaves time to ask the table service instead."""
+"""Share of the time limit for applying changes up to which a router's view is used; the rest leaves time to
+ask the table service."""
 
 MAX_LIST_AGE_SHARE = 0.5
 """Share of the drain time up to which a router's list of endpoints is used."""
@@ -37,36 +37,28 @@
 
 @dataclass
 class BoxState:
-    """State shared by all parts of a box. They run on one event loop, so nothing is locked.
+    """State shared by all parts of a box; they run on one event loop, so nothing is locked.
 
-    view_asked_at, list_asked_at: when the newest configuration and list of endpoints were requested.
+    view_asked_at, list_asked_at: when the newest configuration and endpoint list were requested.
     list_unreachable_at: when the table service last gave no answer about the list. list_from_router: a router
-    forwarded the newest list.
+    forwarded the newest list. operators_revision, list_revision: the revision up to which a view is complete;
+    operators_changed_revision, list_changed_revision: that of its last change.
 
-    operators_revision, list_revision: the table service's revision up to which a view is complete;
-    operators_changed_revision, list_changed_revision: the revision at which it last changed.
+    target_version_by_model: as in the configuration; target_versions_at_start: as in this box's first view.
+    version_history_known: other boxes' rows were read. last_view_before_start: when any box last requested a
+    view before this one started.
 
-    target_version_by_model: the versions that the configuration names; target_versions_at_start: those in
-    this box's first view. version_history_known: rows of boxes were read, which tell when target versions
-    changed. last_view_before_start: when any box last requested a view before this one started.
+    boxes: ids of boxes believed alive. routers: boxes that route prompts for all. routed_engines: ids of
+    engines that this box routes for. suspected_until_by_id: routers that recently did not answer.
 
-    boxes: ids of boxes believed alive; boxes_known_at: when their rows were first read. routers: boxes that
-    route prompts for all. routed_engines: ids of engines that this box routes for. suspected_until_by_id:
-    routers that recently did not answer.
-
-    retry_at_by_service: the latest retry time given to a refused caller. limited: ids of endpoints that have
+    retry_at_by_service: latest retry time given to a refused caller. limited: ids of endpoints that have
     reported a rate limit, including ended ones. backing_off: ids of endpoints that asked this box to back
     off.
 
-    evacuated: data halls without new work, known up to evacuated_revision; evacuation_ended_at_by_hall: when
-    a hall was last taken back into service. unreadable: ids of malformed entries in the list.
-
-    clock_offset_ms: the endpoints' clock minus this one's. stopping: the stop signal came; refusing: new
-    requests are refused.
-
-    changed: notified when the configuration, target versions, evacuated halls, list, routers or their
-    suspicion change, when routers start or stop reporting crashes, and on stop. quarantine: requests that
-    crash endpoints.
+    evacuated: data halls without new work, known up to evacuated_revision. unreadable: ids of malformed list
+    entries. clock_offset_ms: the endpoints' clock minus this one's. refusing: new requests are refused.
+    changed: notified when views, routers or their suspicion change, when routers start or stop reporting
+    crashes, and on stop.
     """
 
     settings: BoxSettings
@@ -156,9 +148,9 @@
         return followers(self.live_routers())
 
     def placing_routers(self) -> list[Member]:
-        """Return the routers that currently place prompts, as many as the number of engines warrants.
+        """Return the routers that place prompts now, as many as the engines warrant.
 
-        Routers in evacuated data halls are used only if there are no others.
+        Those in evacuated data halls are used only if there are no others.
         """
         catalog = self.catalog
         if catalog is None:
@@ -180,15 +172,15 @@
         return self.list_valid_for_s(age_s) < 0
 
     def list_valid_for_s(self, age_s: float) -> float:
-        """Return the seconds until a list of endpoints of that age is too old to forward."""
+        """Return the seconds until a list of endpoints of that age expires."""
         return self.settings.drain_s * MAX_LIST_AGE_SHARE - age_s
 
     def view_expired(self, age_s: float) -> bool:
-        """Tell whether a view of operators' rows of that age is too old to forward."""
+        """Tell whether operators' rows of that age are too old to forward."""
         return self.view_valid_for_s(age_s) < 0
 
     def view_valid_for_s(self, age_s: float) -> float:
-        """Return the seconds until a view of operators' rows of that age is too old to forward."""
+        """Return the seconds until operators' rows of that age expire."""
         return min(self.settings.apply_s, self.settings.evacuate_s) * MAX_VIEW_AGE_SHARE - age_s
 
     def view_age(self) -> float:
@@ -196,7 +188,7 @@
         return monotonic() - self.view_asked_at
 
     def keys_fresh(self) -> bool:
-        """Tell whether requests with a key may be sent; by an older view the key may have been revoked."""
+        """Tell whether requests with a key may be sent, that is, a revoked key would be known."""
         return self.view_age() < self.settings.freshness.keyed_s
 
     def ready(self) -> bool:
@@ -205,7 +197,7 @@
         return known and not self.stopping and self.view_age() < self.settings.freshness.ready_s
 
     def should_close_connections(self) -> bool:
-        """Tell whether callers should move to another box: this one is stopping, or its view is old."""
+        """Tell whether callers should move to another box."""
         return self.stopping or self.view_age() >= self.settings.freshness.ready_s
 
     def endpoint_state(self, endpoint: Endpoint) -> EndpointState:
@@ -218,10 +210,7 @@
         return endpoint_state
 
     def apply_report(self, endpoint: Endpoint, report: EngineReport, now: float) -> None:
-        """Record an endpoint's report, unless it is of an older incarnation.
-
-        A newer incarnation counts as cold: reports may show it before its entry does.
-        """
+        """Record a report, unless it is of an older incarnation; a newer one counts as cold."""
         endpoint_state = self.endpoint_state(endpoint)
         if 0 < report.born < endpoint_state.born:
             return
@@ -240,10 +229,9 @@
     def _reset_endpoint(
         self, endpoint: Endpoint, endpoint_state: EndpointState, born: int, source: str
     ) -> EndpointState:
-        """Replace the state of an endpoint that restarted, and return the new one.
+        """Return the new state of a restarted endpoint; requests in flight keep counting in the old one.
 
-        The first start time heard of belongs to the known incarnation. Requests in flight keep counting in
-        the old state.
+        The first start time heard of belongs to the known incarnation.
         """
         if not endpoint_state.born:
             endpoint_state.born = born
@@ -263,10 +251,7 @@
         return max(endpoint.versions_by_model.get(model, 0), reported, state.version)
 
     def record_target_version(self, model: str, version: int, at: float, source: str) -> None:
-        """Record when a version became the target; of the times that boxes saw, the earliest counts.
-
-        source: where the time comes from, for the log.
-        """
+        """Record when a version became the target; the earliest time that any box saw counts."""
         history = self.version_history_by_model.setdefault(model, VersionHistory())
         before = history.replaced_at(version - 1)
         history.record(version, at)
@@ -292,8 +277,7 @@
             self.record_target_version(model, version, at, "view before start")
 
     def saw_version_change(self, model: str, version: int) -> bool:
-        """Tell whether a version became the target between two views of this box, which then knows its
-        age."""
+        """Tell whether a version became the target between two views of this box."""
         return (
             self.target_versions_at_start.get(model, 0)
             < version
@@ -342,8 +326,7 @@
         return self.retry_budget(service).take(now, len(self.boxes), known_s)
 
     def drop_removed_endpoints(self) -> None:
-        """Drop the state of endpoints that are no longer listed, except those with active limits or
-        requests."""
+        """Drop the state of unlisted endpoints without active limits or requests."""
         now = monotonic()
         for endpoint_id in list(self.endpoints_by_id):
             state = self.endpoints_by_id[endpoint_id]
