--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -16,14 +16,14 @@
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.placement import EngineView, Placement
 from stairquay.core.routers import Member, routers_for
-from stairquay.serving.choosing import Choice, Wanted
 from stairquay.serving.decisions import Decision
+from stairquay.serving.endpoint_choice import Choice, ChoiceRequest
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
 from stairquay.serving.notices import Notices
-from stairquay.serving.pacing import come_back_s, count_sent
+from stairquay.serving.pacing import count_sent, retry_after_s
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
@@ -168,7 +168,7 @@
         if endpoint is None:
             return reply.endpoint in state.fleet.leaving_by_id
         by_router = UNLIMITED if reply.said is None else reply.said.per_s
-        if limit_of(state.of(endpoint)) < by_router or state.fleet.leaves(endpoint):
+        if limit_of(state.endpoint_state(endpoint)) < by_router or state.fleet.leaves(endpoint):
             return True
         return endpoint.id in rests_of(state, now)
 
@@ -189,12 +189,12 @@
             return None
         if not takes_work(self.state, usable):
             return None
-        too_old = self.state.too_old(prompt.model, reply.version or 0, reply.first_token_s)
+        too_old = self.state.version_too_old(prompt.model, reply.version or 0, reply.first_token_s)
         return None if too_old else usable
 
     def _choose_here(self, job: Job, progress: Progress) -> Choice | None:
         tried, rests_s = frozenset(progress.tried), rests_of(self.state, monotonic())
-        wanted = Wanted(job.service, job.call.prompt, job.workspace, tried, rests_s=rests_s)
+        wanted = ChoiceRequest(job.service, job.call.prompt, job.workspace, tried, backoffs_s=rests_s)
         choice = choose_and_save(self.state, job.catalog, wanted, self.random)
         if choice is not None:
             count_sent(self.state, choice.endpoint, monotonic(), self.random)
@@ -208,7 +208,7 @@
             return progress.come_back_s
         now = monotonic()
         rests_s = rests_of(self.state, now)
-        return come_back_s(self.state, job.service.id, progress.tried, rests_s, now, self.random)
+        return retry_after_s(self.state, job.service.id, progress.tried, rests_s, now, self.random)
 
     def all_rest_s(self, job: Job) -> float | None:
         """Return the seconds after which the caller of a job should come back that is refused while all
@@ -218,7 +218,7 @@
         usable = [item for item in state.fleet.usable(job.service.id, now) if takes_work(state, item)]
         if not usable or any(item.id not in rests_s for item in usable):
             return None
-        return come_back_s(state, job.service.id, (), rests_s, now, self.random)
+        return retry_after_s(state, job.service.id, (), rests_s, now, self.random)
 
     def _question(
         self,
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -12,9 +12,9 @@
 from stairquay.core.catalog import urgency
 from stairquay.core.errors import ErrorKind, ExecutionStatus, Refusal
 from stairquay.serving.asking import Chooser
-from stairquay.serving.choosing import Choice
 from stairquay.serving.crashes import CrashWatch
-from stairquay.serving.endpoint import FULL_PAUSE_S
+from stairquay.serving.endpoint import BUSY_BACKOFF_S
+from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.messages import Outcome
@@ -67,7 +67,7 @@
 
     async def run(self, job: Job, request: web.Request) -> Result[web.StreamResponse, Refusal]:
         """Run a job to its end, and return the answer that was given or is to be given."""
-        self.state.budget(job.service.id).on_request(monotonic())
+        self.state.retry_budget(job.service.id).on_request(monotonic())
         progress = Progress()
         while True:
             refusal = self._may_go_on(job, progress)
@@ -127,7 +127,7 @@
         prompt = job.call.prompt
         if prompt is None or choice.placement is None:
             return False
-        return self.state.too_old(prompt.model, choice.version or 0, choice.placement.first_token_s)
+        return self.state.version_too_old(prompt.model, choice.version or 0, choice.placement.first_token_s)
 
     def _may_repeat(self, job: Job, progress: Progress) -> Refusal | None:
         """Return why a failed job is not sent again, None where it is."""
@@ -142,7 +142,7 @@
                 return refusal
         elif progress.refused >= MAX_REFUSED:
             return refusal
-        if not self.state.take_repeat(job.service.id):
+        if not self.state.take_retry(job.service.id):
             record_not_repeated(self.state, job)
             return refusal
         self.state.metrics.repeats.labels(job.service.id).inc()
@@ -153,13 +153,13 @@
     ) -> web.StreamResponse | None:
         """Make one attempt. Return the caller's response, or None where it failed (`progress.last`)."""
         attempt = Attempt(job.call.id, choice.endpoint.id)
-        held = self.state.of(choice.endpoint)
+        held = self.state.endpoint_state(choice.endpoint)
         begun = Begun(choice, attempt, held, monotonic())
         # A router has already counted what it placed itself.
         counted = choice.router == self.state.settings.id
         held.in_flight += not counted
         if choice.placement is not None and not counted:
-            held.unread_tokens_by_request[job.call.id] = choice.placement.read
+            held.waiting_tokens_by_request[job.call.id] = choice.placement.read
             held.on_sent(choice.placement.read + choice.placement.fetched, begun.sent_at)
         note_tried(held, begun.sent_at)
         record_sent(self.state, job, choice, progress)
@@ -173,7 +173,7 @@
             return await self._relay(job, begun, progress, sent.ok_value, request)
         finally:
             held.in_flight -= not counted
-            held.unread_tokens_by_request.pop(job.call.id, None)
+            held.waiting_tokens_by_request.pop(job.call.id, None)
 
     def _take_statement(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
         """Take in what an answer's head says of its endpoint, before any of it is passed on."""
@@ -223,7 +223,7 @@
                     progress.stream,
                     job.deadline,
                     on_first=lambda: self._on_first(job, begun),
-                    last_on_connection=self.state.turns_away,
+                    last_on_connection=self.state.should_close_connections,
                 )
                 response = progress.stream.response
                 assert response is not None
@@ -267,7 +267,7 @@
         if begun.first_at is not None:
             return
         begun.first_at = monotonic()
-        begun.held.unread_tokens_by_request.pop(job.call.id, None)
+        begun.held.waiting_tokens_by_request.pop(job.call.id, None)
         record_first(self.state, job, begun.first_at)
         placement = begun.choice.placement
         if placement is None or job.call.prompt is None:
@@ -283,13 +283,13 @@
         progress.tried.add(begun.choice.endpoint.id)
         if failure.ran == ExecutionStatus.NOT_RUN:
             progress.refused += 1
-            begun.held.refused_until = now + FULL_PAUSE_S
+            begun.held.refused_until = now + BUSY_BACKOFF_S
         else:
             progress.runs += 1
         if _speaks_against(failure):
             begun.held.on_outcome(True, now)
             if _unreached(failure):
-                begun.held.doubted_at = now
+                begun.held.unreachable_at = now
         if failure.broke:
             self.crashes.broke(job, begun, progress.stream.events)
         record_failed(self.state, job, begun, failure, now)
@@ -299,7 +299,7 @@
         if reply.status < SERVER_ERROR:
             self.state.quarantine.served(job.digest)
         begun.held.on_outcome(False, now)
-        begun.held.work_s += WORK_WEIGHT * ((now - begun.sent_at) - begun.held.work_s)
+        begun.held.response_time_s += WORK_WEIGHT * ((now - begun.sent_at) - begun.held.response_time_s)
         if reply.version is not None:
             begun.held.version = max(begun.held.version, reply.version)
         record_answered(self.state, job, begun, reply, progress, now)
--- /dev/null
+++ b/stairquay/serving/engine_views.py
@@ -0,0 +1,113 @@
+"""Views of engines and sources of cached context, the input for placing a prompt."""
+
+from dataclasses import replace
+from heapq import nlargest
+
+from stairquay.adapters.clock import monotonic
+from stairquay.core.call import Part, PromptShape
+from stairquay.core.catalog import Catalog, EngineShape, StoreShape
+from stairquay.core.fleet import Endpoint
+from stairquay.core.placement import PREFILL_TOKENS_S, EngineView, Source
+from stairquay.serving.endpoint import EndpointState
+from stairquay.serving.ports import EngineReport
+from stairquay.serving.state import BoxState
+
+STORE_VIEW_TTL_S = 1.2
+"""Seconds without an answer after which a store box's content counts as unknown: it may have restarted, and
+it does not verify what it serves."""
+
+
+def engine_view(
+    state: BoxState,
+    endpoint: Endpoint,
+    prompt: PromptShape,
+    scope: str,
+    slots: int,
+    outdated: bool,
+    preferred: frozenset[str] | None,
+    now: float,
+) -> EngineView:
+    """Return the current view of an engine for one prompt.
+
+    preferred: ids of the engines that the sender prefers, None if it has no preference.
+    """
+    endpoint_state = state.endpoint_state(endpoint)
+    used_tokens = endpoint_state.used_tokens(now) + _queued_memory_tokens(endpoint_state.report)
+    return EngineView(
+        id=endpoint.id,
+        address=endpoint.address,
+        resident=tuple(state.holdings.tokens(endpoint.address, scope, part.id) for part in prompt.parts),
+        waiting_tokens=_waiting_tokens(state, endpoint, endpoint_state, now),
+        running=_running(state, endpoint, endpoint_state),
+        failing=endpoint_state.current_failure_rate(now),
+        outdated=outdated,
+        here=endpoint.data_hall == state.settings.data_hall,
+        familiar=preferred is None or endpoint.id in preferred,
+        used_tokens=used_tokens,
+        slots=slots,
+        total_tokens=0.0 if endpoint_state.report is None else endpoint_state.report.total_tokens,
+    )
+
+
+def _running(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState) -> int:
+    """Return the estimated number of runs at an engine.
+
+    A router may miss the end of a run, so its count is capped by the last report plus the prompts sent since.
+    """
+    if endpoint_state.report is None:
+        return endpoint_state.in_flight
+    if endpoint.id in state.routed_engines:
+        return min(
+            endpoint_state.in_flight,
+            endpoint_state.report.running + endpoint_state.report.queued + len(endpoint_state.sent_prompts),
+        )
+    return max(endpoint_state.report.running, endpoint_state.in_flight)
+
+
+def _waiting_tokens(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, now: float) -> float:
+    """Return the prompt tokens whose prefill an engine has not finished."""
+    if endpoint.id in state.routed_engines:
+        return max(0.0, endpoint_state.prefill_until - now) * PREFILL_TOKENS_S
+    return sum(endpoint_state.waiting_tokens_by_request.values())
+
+
+def _queued_memory_tokens(report: EngineReport | None) -> float:
+    """Return the memory in tokens that requests queued at an engine will take."""
+    return 0.0 if report is None else float(report.queued * report.next_tokens)
+
+
+def fresh_stores(state: BoxState, catalog: Catalog) -> list[StoreShape]:
+    """Return the store boxes whose content is currently known."""
+    now = monotonic()
+    return [
+        store
+        for store in catalog.stores_by_id.values()
+        if (holding := state.holdings.by_address.get(store.address)) is not None
+        and now - holding.heard_at < STORE_VIEW_TTL_S
+    ]
+
+
+def usable_sources(state: BoxState, catalog: Catalog, engine: EngineShape, now: float) -> dict[str, Source]:
+    """Return by address the sources that context can be fetched from now, with no tokens yet."""
+    by_address: dict[str, Source] = {}
+    for endpoint in state.fleet.live():
+        # An evacuated data hall may lose power, and a fetch from a lost source is slow to fail.
+        if endpoint.data_hall not in state.evacuated and not state.endpoint_state(endpoint).silent(now):
+            by_address[endpoint.address] = Source(endpoint.address, 0, engine.link_bytes_s)
+    for store in fresh_stores(state, catalog):
+        by_address[store.address] = Source(store.address, 0, store.link_bytes_s, store.first_s, lasting=True)
+    return by_address
+
+
+def best_sources(state: BoxState, usable: dict[str, Source], scope: str, part: Part) -> list[Source]:
+    """Return the two best sources of a part: an engine that is itself the best needs the second.
+
+    Of equal sources a store box comes first, since engines evict parts that are not in use.
+    """
+    found = []
+    for holder in state.holdings.holders(scope, part.id):
+        source = usable.get(holder)
+        if source is not None:
+            tokens = min(part.tokens, state.holdings.tokens(holder, scope, part.id))
+            found.append(replace(source, tokens=tokens))
+    return nlargest(2, found, key=lambda source: (source.tokens, source.lasting, source.bytes_s))
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -4,8 +4,8 @@
 from stairquay.core.errors import ExecutionStatus, Refusal
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.placement import Placement
-from stairquay.serving.choosing import Choice
 from stairquay.serving.decisions import Decision
+from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.ports import Reply, SendFailure, Statement
 from stairquay.serving.state import BoxState
@@ -38,9 +38,9 @@
         "left_s": job.deadline - monotonic(),
         "view_age_s": state.view_age(),
         "configuration": job.catalog.version,
-        "in_flight": state.of(choice.endpoint).in_flight,
+        "in_flight": state.endpoint_state(choice.endpoint).in_flight,
     }
-    limit_per_s = limit_of(state.of(choice.endpoint))
+    limit_per_s = limit_of(state.endpoint_state(choice.endpoint))
     if limit_per_s < UNLIMITED:
         inputs["limit_per_s"] = limit_per_s
     if choice.placement is not None:
@@ -59,7 +59,7 @@
         "reused": placement.reused,
         "fetched": placement.fetched,
         "read": placement.read,
-        "report_age_s": monotonic() - state.of(choice.endpoint).reported_at,
+        "report_age_s": monotonic() - state.endpoint_state(choice.endpoint).reported_at,
         "resident": placement.engine.resident,
         "fetch": placement.fetch_from,
         "used": placement.engine.used_tokens,
@@ -98,7 +98,7 @@
         detail=failure.detail,
         status=failure.status,
         took_s=now - begun.sent_at,
-        failing=begun.held.failing_share(now),
+        failing=begun.held.current_failure_rate(now),
         broke=failure.broke,
         digest=job.digest,
         **said_inputs(failure.said),
@@ -107,7 +107,7 @@
 
 def record_not_repeated(state: BoxState, job: Job) -> None:
     """Log that a failed job is not sent again because the budget for that is spent."""
-    budget = state.budget(job.service.id)
+    budget = state.retry_budget(job.service.id)
     state.log.line(
         Decision.ATTEMPT_FAILED,
         job.call.id,
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -18,11 +18,11 @@
 from stairquay.core.holdings import Key
 from stairquay.core.placement import read_s
 from stairquay.core.routers import Engine, engines_of
-from stairquay.serving.choosing import Choice, Wanted
 from stairquay.serving.cold import cold_for_s
 from stairquay.serving.crash_rows import STALE_S
 from stairquay.serving.decisions import Decision
-from stairquay.serving.endpoint import FULL_PAUSE_S, EndpointState
+from stairquay.serving.endpoint import BUSY_BACKOFF_S, EndpointState
+from stairquay.serving.endpoint_choice import Choice, ChoiceRequest
 from stairquay.serving.links import Answers, serve
 from stairquay.serving.messages import (
     CrashesTold,
@@ -40,7 +40,7 @@
     ViewsReply,
     ViewsRequest,
 )
-from stairquay.serving.pacing import come_back_s, count_sent, take_back
+from stairquay.serving.pacing import count_sent, refund_sent, retry_after_s
 from stairquay.serving.ports import EndpointChanges, OperatorChanges
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
@@ -96,10 +96,10 @@
         try:
             while True:
                 await self._review()
-                if self.state.routes or self.server is not None or self.placed_by_ticket:
+                if self.state.is_router or self.server is not None or self.placed_by_ticket:
                     await asyncio.sleep(REVIEW_S)
                 else:
-                    await self.state.changed.until(lambda: self.state.routes)
+                    await self.state.changed.until(lambda: self.state.is_router)
         finally:
             await self._close()
 
@@ -110,9 +110,9 @@
         rests_s = {item.endpoint: item.rest_s for item in asked.said if item.rest_s > 0}
         choice = self._choose(asked, rests_s)
         if choice is None or choice.placement is None:
-            soonest_s = come_back_s(self.state, asked.service, asked.tried, rests_s, now, self.random)
+            soonest_s = retry_after_s(self.state, asked.service, asked.tried, rests_s, now, self.random)
             return PlaceReply(come_back_s=soonest_s or 0.0)
-        said = statement_told(choice.endpoint, self.state.of(choice.endpoint), now)
+        said = statement_told(choice.endpoint, self.state.endpoint_state(choice.endpoint), now)
         given_up = asked.most_backlog_s is not None and choice.backlog_s > asked.most_backlog_s
         if not given_up and asked.may_wait and self._read_soon(choice, asked):
             return PlaceReply(endpoint=choice.endpoint.id, version=choice.version, again_s=READ_AGAIN_S)
@@ -173,13 +173,13 @@
         held, now = placed.held, monotonic()
         held.in_flight = max(0, held.in_flight - 1)
         if ended.outcome in (Outcome.NOT_SENT, Outcome.TURNED_AWAY, Outcome.UNREACHED):
-            held.take_back(placed.reading_s, placed.tokens, placed.at)
+            held.revert_placed(placed.reading_s, placed.tokens, placed.at)
             if placed.paced and ended.outcome != Outcome.TURNED_AWAY:
-                take_back(held)
+                refund_sent(held)
         if ended.outcome == Outcome.TURNED_AWAY:
-            held.refused_until = now + FULL_PAUSE_S
+            held.refused_until = now + BUSY_BACKOFF_S
         if ended.outcome == Outcome.UNREACHED:
-            held.doubted_at = now
+            held.unreachable_at = now
         if ended.outcome in (Outcome.DONE, Outcome.FAILED, Outcome.UNREACHED):
             held.on_outcome(ended.outcome != Outcome.DONE, now)
 
@@ -191,7 +191,7 @@
         parts = tuple(Part(part.id, part.tokens) for part in asked.parts)
         prompt = PromptShape(asked.model, parts, asked.tokens, asked.max_output)
         wall = WorkspaceRule(asked.wall, isolated=True) if asked.wall else None
-        wanted = Wanted(service, prompt, wall, frozenset(asked.tried), asked.box, rests_s)
+        wanted = ChoiceRequest(service, prompt, wall, frozenset(asked.tried), asked.box, rests_s)
         return choose_and_save(self.state, catalog, wanted, self.random)
 
     def _count(self, asked: PlaceRequest, choice: Choice) -> None:
@@ -202,7 +202,7 @@
         reading_s = read_s(placement.read, asked.tokens)
         address = choice.endpoint.address
         shared = tuple(((choice.scope, part.id), part.tokens) for part in asked.parts[:-1])
-        held = self.state.of(choice.endpoint)
+        held = self.state.endpoint_state(choice.endpoint)
         paced = count_sent(self.state, choice.endpoint, now, self.random)
         placed = Placed(now, held, reading_s, asked.tokens, address, shared, paced)
         self.placed_by_ticket[asked.ticket] = placed
@@ -215,7 +215,7 @@
 
     async def _review(self) -> None:
         state = self.state
-        mine = state.routes
+        mine = state.is_router
         if mine and self.server is None and not state.stopping:
             await self._open()
         if self.server is not None and (not mine or state.stopping):
@@ -303,18 +303,22 @@
     def _operators_last_s(self, asked: OperatorsRequest) -> float:
         """Return the seconds for which nothing new can be said, as far as is known now."""
         state = self.state
-        return 0.0 if state.operators_changed > asked.after else state.view_lasts_s(state.view_age())
+        return (
+            0.0
+            if state.operators_changed_revision > asked.after
+            else state.view_valid_for_s(state.view_age())
+        )
 
     def _endpoints_last_s(self, asked: EndpointsRequest) -> float:
         """Return the same for the list of endpoints."""
         state = self.state
-        return 0.0 if state.list_changed > asked.after else state.list_lasts_s(state.list_age())
+        return 0.0 if state.list_changed_revision > asked.after else state.list_valid_for_s(state.list_age())
 
     def _operators_reply(self, asked: OperatorsRequest, began_at: float) -> OperatorsReply:
         state = self.state
         revision = state.operators_revision
-        if state.operators_changed > asked.after:
-            named, evacuated = dict(state.named_by_model), tuple(sorted(state.evacuated))
+        if state.operators_changed_revision > asked.after:
+            named, evacuated = dict(state.target_version_by_model), tuple(sorted(state.evacuated))
             changes = OperatorChanges(revision, True, state.catalog, "", named, evacuated=evacuated)
         else:
             changes = OperatorChanges(revision, False)
@@ -341,7 +345,7 @@
 
     def _endpoints_reply(self, asked: EndpointsRequest) -> EndpointsReply:
         state = self.state
-        if state.list_changed > asked.after:
+        if state.list_changed_revision > asked.after:
             changes = EndpointChanges(state.list_revision, True, self._listed())
         else:
             changes = EndpointChanges(state.list_revision, False)
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -10,14 +10,14 @@
 from stairquay.core.fleet import Endpoint
 from stairquay.core.rollout import EngineState
 from stairquay.core.routers import Member
-from stairquay.serving.choosing import Choice, Wanted, choose
+from stairquay.serving.endpoint_choice import Choice, ChoiceRequest, choose_endpoint
+from stairquay.serving.engine_views import best_sources, usable_sources
 from stairquay.serving.following import AGAIN_S, ROUTED_AGAIN_S, SINGLE_MISSES, again_s
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceRequest
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import EngineReport
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
-from stairquay.serving.weighing import best_sources, usable_sources
 from tests.states import box_state
 
 PROMPT = PromptShape("m", (Part("aa", 500), Part("bb", 300)), 800, 20)
@@ -35,13 +35,13 @@
     state.routers = (Member("b-1"),)
     state.routed_engines = frozenset(item.id for item in listed)
     for item in listed:
-        state.of(item).on_report(EngineReport(running=1, total_tokens=100_000), monotonic())
+        state.endpoint_state(item).on_report(EngineReport(running=1, total_tokens=100_000), monotonic())
     return state
 
 
 def chosen(state: BoxState, sender: str = "b-2") -> Choice:
     service = CATALOG.services_by_id["llm"]
-    choice = choose(state, CATALOG, Wanted(service, PROMPT, sender=sender), CHANCE)
+    choice = choose_endpoint(state, CATALOG, ChoiceRequest(service, PROMPT, sender=sender), CHANCE)
     assert choice is not None
     return choice
 
@@ -84,7 +84,9 @@
     state.routed_engines = frozenset()
     random = Random(3)
     service = CATALOG.services_by_id["llm"]
-    found = {choose(state, CATALOG, Wanted(service, PROMPT), random).endpoint.id for _ in range(60)}
+    found = {
+        choose_endpoint(state, CATALOG, ChoiceRequest(service, PROMPT), random).endpoint.id for _ in range(60)
+    }
     assert len(found) == 8
 
 
@@ -127,7 +129,7 @@
             self.asked.append(address)
 
     state = router_state()
-    state.named_by_model["m"] = 2
+    state.target_version_by_model["m"] = 2
     state.endpoints_by_id["e-0"].reported_at = monotonic() - 1.0
     giver = OrderGiver(state, None, Peers())
     asyncio.run(giver._look_again([EngineState("e-0", "m", 1)]))
@@ -142,11 +144,11 @@
 def test_a_router_beside_those_that_follow_the_table_service_follows_it_once_one_is_gone():
     state = router_state()
     state.routers = (Member("a-1"), Member("a-2"), Member("b-1"))
-    assert state.routes and not state.follows
+    assert state.is_router and not state.is_follower
     state.suspected_until_by_id["a-1"] = monotonic() + 1.0
-    assert state.follows
+    assert state.is_follower
     state.suspected_until_by_id["a-1"] = monotonic() - 1.0
-    assert not state.follows
+    assert not state.is_follower
 
 
 def test_boxes_beside_routers_ask_a_table_service_that_is_down_less_often():
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -9,7 +9,7 @@
 from stairquay.core.fleet import Endpoint, Fleet
 from stairquay.core.rollout import Given
 from stairquay.core.routers import Member
-from stairquay.serving.cold import RETURN_CAUTION_S, cold_for_s
+from stairquay.serving.cold import POST_EVACUATION_COLD_S, cold_for_s
 from stairquay.serving.following import apply_endpoints, apply_operators
 from stairquay.serving.messages import (
     Ended,
@@ -21,7 +21,7 @@
     PlaceRequest,
 )
 from stairquay.serving.orders import OrderGiver
-from stairquay.serving.pacing import COLD_RETRY_S, come_back_s, wait_s
+from stairquay.serving.pacing import MAX_COLD_RETRY_S, retry_after_s, wait_s
 from stairquay.serving.ports import EndpointChanges, EngineReport, OperatorChanges
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
@@ -61,16 +61,16 @@
 
 def test_all_that_was_believed_of_an_endpoint_goes_with_its_life():
     state = state_with(ENGINE)
-    held = state.of(ENGINE)
-    held.in_flight, held.version, held.failing = 7, 4, 0.9
+    held = state.endpoint_state(ENGINE)
+    held.in_flight, held.version, held.failure_rate = 7, 4, 0.9
     held.on_report(EngineReport({"m": 4}, running=5, used_tokens=9_000, total_tokens=10_000), monotonic())
     state.holdings.expect(ENGINE.address, "/m/4", "aa", 500)
     listed(state, replace(ENGINE, born=2_000, sequence=1))
-    anew = state.of(ENGINE)
+    anew = state.endpoint_state(ENGINE)
     assert (
         anew is not held
         and anew.report is None
-        and (anew.in_flight, anew.version, anew.failing) == (0, 0, 0.0)
+        and (anew.in_flight, anew.version, anew.failure_rate) == (0, 0, 0.0)
     )
     assert not state.holdings.holders("/m/4", "aa")
     assert state.version_of(state.fleet.by_id["e"], "m") == 1
@@ -78,12 +78,12 @@
 
 def test_a_report_may_tell_of_a_new_life_before_its_entry_does_and_it_is_cold():
     state = state_with(ENGINE)
-    held = state.of(ENGINE)
+    held = state.endpoint_state(ENGINE)
     now = monotonic()
-    state.take_report(ENGINE, EngineReport(born=2_000), now)
-    assert state.of(ENGINE) is not held
+    state.apply_report(ENGINE, EngineReport(born=2_000), now)
+    assert state.endpoint_state(ENGINE) is not held
     assert START_S - 0.1 < cold_for_s(state, ENGINE, now) <= START_S
-    state.take_report(ENGINE, EngineReport({"m": 9}, born=1_000), now)
+    state.apply_report(ENGINE, EngineReport({"m": 9}, born=1_000), now)
     assert state.version_of(ENGINE, "m") == 1, "a report of the last life"
     listed(state, replace(ENGINE, sequence=6))
     assert cold_for_s(state, ENGINE, monotonic()) > 0, "an entry of the last life"
@@ -120,8 +120,8 @@
     listed(state, replace(ENGINE, born=2_000, sequence=1))
     assert place(part, "new") == "e"
     part.finished(Ended("old", Outcome.FAILED))
-    anew = state.of(ENGINE)
-    assert anew.in_flight == 1 and anew.failing == 0.0
+    anew = state.endpoint_state(ENGINE)
+    assert anew.in_flight == 1 and anew.failure_rate == 0.0
 
 
 def test_an_order_that_the_last_life_took_does_not_hold_up_the_next_one():
@@ -138,9 +138,9 @@
 def test_an_endpoint_that_was_not_reached_counts_as_cold_until_it_says_that_it_is_the_same():
     state = state_with(ENGINE)
     assert cold_for_s(state, ENGINE, monotonic()) == 0
-    state.of(ENGINE).doubted_at = monotonic()
+    state.endpoint_state(ENGINE).unreachable_at = monotonic()
     assert cold_for_s(state, ENGINE, monotonic()) > START_S - 0.1
-    state.take_report(ENGINE, EngineReport(born=ENGINE.born), monotonic())
+    state.apply_report(ENGINE, EngineReport(born=ENGINE.born), monotonic())
     assert cold_for_s(state, ENGINE, monotonic()) == 0
 
 
@@ -155,10 +155,12 @@
     now = monotonic()
     assert 0 < wait_s(state, ENGINE, now, CHANCE) < 1 / LIMIT.per_s * 2
     told = [reply.come_back_s for reply in replies if not reply.endpoint]
-    assert 0 < told[0] < 1 / LIMIT.per_s * 2 and max(told) <= COLD_RETRY_S
+    assert 0 < told[0] < 1 / LIMIT.per_s * 2 and max(told) <= MAX_COLD_RETRY_S
     assert told == sorted(told) and len(set(told)) > 10, "one after the other, not all at once"
     listed(state, replace(ENGINE, sequence=6))
-    assert place(part, "warm") == "e" and come_back_s(state, SERVICE.id, (), {}, monotonic(), CHANCE) is None
+    assert (
+        place(part, "warm") == "e" and retry_after_s(state, SERVICE.id, (), {}, monotonic(), CHANCE) is None
+    )
 
 
 def test_a_box_that_decides_alone_waits_for_its_own_moment():
@@ -186,7 +188,7 @@
     state = state_with(ENGINE)
     operators(state, 10, evacuated=("hall-a",))
     operators(state, 11, returned=("hall-a",))
-    assert RETURN_CAUTION_S - 0.1 < cold_for_s(state, ENGINE, monotonic()) <= RETURN_CAUTION_S
+    assert POST_EVACUATION_COLD_S - 0.1 < cold_for_s(state, ENGINE, monotonic()) <= POST_EVACUATION_COLD_S
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
     part = RouterPart(state, CHANCE)
     assert place(part, "back") == "e"
@@ -200,7 +202,7 @@
     part = RouterPart(state, CHANCE)
     changes = part._operators_reply(OperatorsRequest(9, 0.0), monotonic()).changes
     assert changes.whole and changes.evacuated == ("hall-a",)
-    state.of(ENGINE).cold_until = monotonic() + 1.0
+    state.endpoint_state(ENGINE).cold_until = monotonic() + 1.0
     passed = part._endpoints_reply(EndpointsRequest(0, 0.0)).changes.present[0]
     assert passed.cold and 0.9 < passed.cold_s <= 1.0
 
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -14,9 +14,9 @@
 from stairquay.core.catalog import Route
 from stairquay.core.errors import ErrorKind, ExecutionStatus
 from stairquay.core.fleet import Endpoint as Listed
-from stairquay.serving.choosing import Choice, Wanted, choose
 from stairquay.serving.crashes import CrashWatch
 from stairquay.serving.dispatch import Dispatcher
+from stairquay.serving.endpoint_choice import Choice, ChoiceRequest, choose_endpoint
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.messages import Outcome
@@ -33,7 +33,7 @@
 def hears(state: BoxState, said: Statement, ago_s: float = 0.0) -> None:
     """Take in an answer that came so long ago, to a request sent right before."""
     at = monotonic() - ago_s
-    take_statement(state, PLAIN, state.of(PLAIN), said, at, at)
+    take_statement(state, PLAIN, state.endpoint_state(PLAIN), said, at, at)
 
 
 def knowing() -> BoxState:
@@ -44,8 +44,8 @@
 
 
 def chosen(state: BoxState) -> bool:
-    wanted = Wanted(CATALOG.services_by_id["plain"], rests_s=rests_of(state, monotonic()))
-    return choose(state, CATALOG, wanted, Random(1)) is not None
+    wanted = ChoiceRequest(CATALOG.services_by_id["plain"], backoffs_s=rests_of(state, monotonic()))
+    return choose_endpoint(state, CATALOG, wanted, Random(1)) is not None
 
 
 def lapse_and_return(state: BoxState) -> None:
@@ -68,7 +68,7 @@
     state = knowing()
     hears(state, Statement(limit_per_s=2.0))
     lapse_and_return(state)
-    assert limit_of(state.of(PLAIN)) == 2.0
+    assert limit_of(state.endpoint_state(PLAIN)) == 2.0
 
 
 def test_rests_that_overlap_last_until_the_last_one_ends():
@@ -87,7 +87,7 @@
     state = knowing()
     hears(state, Statement(rest_s=2.0), 3.0)
     hears(state, Statement(), 0.5)
-    assert chosen(state) and not state.resting
+    assert chosen(state) and not state.backing_off
 
 
 def test_a_new_life_under_the_same_id_is_bound_by_nothing_that_the_last_one_said():
@@ -106,7 +106,7 @@
     state, other = knowing(), knowing()
     apply_endpoints(state, EndpointChanges(2, True, (born(1_000),)), monotonic())
     hears(state, Statement(leaving=True))
-    state.take_report(state.fleet.by_id[PLAIN.id], EngineReport(born=2_000), monotonic())
+    state.apply_report(state.fleet.by_id[PLAIN.id], EngineReport(born=2_000), monotonic())
     take_told(other, told_statements(state, monotonic()), monotonic())
     apply_endpoints(other, EndpointChanges(3, True, (born(2_000),)), monotonic())
     assert chosen(other)
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -16,7 +16,7 @@
 from stairquay.platform.names import OWN_TABLE
 from stairquay.platform.rows import OwnRows, TableClient
 from stairquay.serving.boxes import PREFIX, BoxList
-from stairquay.serving.choosing import Wanted, choose
+from stairquay.serving.endpoint_choice import ChoiceRequest, choose_endpoint
 from stairquay.serving.following import apply_operators
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import EngineReport, OperatorChanges
@@ -70,7 +70,7 @@
                 table.put(OWN_TABLE, PREFIX + "other", {"beat": 3, "viewed_at_s": now_ms() / 1000 - 5.0})
                 table.late_s_by_table = {OWN_TABLE: 0.5}
                 await take_rows(table, boxes)
-                assert viewed_at - 0.7 <= state.viewed_before_start <= viewed_at + 0.05
+                assert viewed_at - 0.7 <= state.last_view_before_start <= viewed_at + 0.05
         finally:
             await table.runner.cleanup()
 
@@ -104,16 +104,16 @@
 def state_with_old_weights(replaced_s: float) -> BoxState:
     """Return the state of a router with one engine whose weights have been replaced for so long."""
     state = box_state()
-    state.namings_learned = True
+    state.version_history_known = True
     state.catalog = CATALOG
     engine = Endpoint("e-0", "llm", "10.0.1.0:1", "hall-a", 8, versions_by_model={"m": 1})
     state.fleet.apply([engine], [], monotonic())
     state.routers = (Member("b-1"),)
     state.routed_engines = frozenset({engine.id})
     report = EngineReport(versions_by_model={"m": 1}, running=1, total_tokens=200_000)
-    state.of(engine).on_report(report, monotonic())
-    state.named_by_model["m"] = 2
-    state.note_named("m", 2, monotonic() - replaced_s, "operators")
+    state.endpoint_state(engine).on_report(report, monotonic())
+    state.target_version_by_model["m"] = 2
+    state.record_target_version("m", 2, monotonic() - replaced_s, "operators")
     return state
 
 
@@ -122,8 +122,10 @@
     and engines take up to twice as long as predicted."""
     sent_by_tokens = {}
     for tokens in (100, 10_000, 30_000, 60_000):
-        wanted = Wanted(CATALOG.services_by_id["llm"], PromptShape("m", (Part("aa", tokens),), tokens, 20))
-        choice = choose(state_with_old_weights(11.0), CATALOG, wanted, Random(1))
+        wanted = ChoiceRequest(
+            CATALOG.services_by_id["llm"], PromptShape("m", (Part("aa", tokens),), tokens, 20)
+        )
+        choice = choose_endpoint(state_with_old_weights(11.0), CATALOG, wanted, Random(1))
         sent_by_tokens[tokens] = choice is not None
     assert sent_by_tokens == {100: True, 10_000: False, 30_000: False, 60_000: False}
 
