--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -244,7 +244,7 @@
 async def _finish(state: BoxState) -> None:
     """Turn unready, serve on until the balancer has seen it, then finish what is under way."""
     state.stopping = True
-    state.changed.happened()
+    state.changed.notify_all()
     state.log.line(Decision.STOP, outcome="stopping", in_flight=state.in_flight)
     await asyncio.sleep(LAME_DUCK_S)
     state.refusing = True
--- a/stairquay/serving/boxes.py
+++ b/stairquay/serving/boxes.py
@@ -88,7 +88,7 @@
             if not self.state.namings_learned:
                 continue
             pause_s = self._pause_s() * (1 + JITTER * (self.random.random() - 0.5))
-            await self.state.changed.until(self._has_news, pause_s)
+            await self.state.changed.wait_for(self._has_news, pause_s)
 
     def _take(self, rows: tuple[Row, ...]) -> None:
         now = monotonic()
@@ -108,7 +108,7 @@
         if routers == self.state.routers:
             return
         self.state.routers = routers
-        self.state.changed.happened()
+        self.state.changed.notify_all()
         names = [router.id for router in routers]
         self.state.log.line(Decision.ROUTER, outcome="picked", routers=names, boxes=len(self.state.boxes))
 
--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -61,7 +61,7 @@
         """Write this box's row whenever there is something new in it, until cancelled."""
         quarantine = self.state.quarantine
         while True:
-            await quarantine.changed.until(lambda: quarantine.untold)
+            await quarantine.changed.wait_for(lambda: quarantine.untold)
             await asyncio.sleep(GATHER_S)
             while quarantine.untold:
                 quarantine.untold = False
@@ -76,7 +76,7 @@
         while True:
             if not self._has_to_follow():
                 quarantine.forget_rows()
-                await self.state.changed.until(self._has_to_follow)
+                await self.state.changed.wait_for(self._has_to_follow)
             asked_at = monotonic()
             whole = quarantine.rows_revision < 0
             answer = await (
--- a/stairquay/serving/decisions.py
+++ b/stairquay/serving/decisions.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from stairquay.adapters.clock import monotonic
-from stairquay.serving.waking import Changes
+from stairquay.serving.change_notifier import ChangeNotifier
 
 QUEUE_LINES = 4_000
 """Lines that wait for the writer: about four seconds of a box's decisions at 1,000 a second."""
@@ -87,7 +87,7 @@
         self.left_out_by_kind: Tally[Decision] = Tally()
         self.left_out_total = 0
         self.closed = False
-        self.more = Changes()
+        self.more = ChangeNotifier()
 
     def line(self, kind: Decision, request: str = "", **inputs: Any) -> None:
         """Log one decision. `inputs` are what decided it, with ages in seconds or versions."""
@@ -100,7 +100,7 @@
         """Write lines until cancelled."""
         os.set_blocking(1, False)
         while True:
-            await self.more.until(self._has_more)
+            await self.more.wait_for(self._has_more)
             await asyncio.sleep(FLUSH_S)
             self.flush()
 
@@ -132,7 +132,7 @@
             record["request"] = request
         record.update({key: _plain(value) for key, value in inputs.items()})
         self.lines.append(msgspec.json.encode(record) + b"\n")
-        self.more.happened()
+        self.more.notify_all()
 
     def _next_chunk(self) -> bytes:
         chunk = bytearray()
@@ -151,7 +151,7 @@
     def _leave_out(self, kind: Decision) -> None:
         self.left_out_by_kind[kind] += 1
         self.left_out_total += 1
-        self.more.happened()
+        self.more.notify_all()
 
     def _tell_left_out(self) -> None:
         if self.closed or not self.left_out_by_kind or len(self.lines) >= QUEUE_LINES:
--- a/stairquay/serving/following.py
+++ b/stairquay/serving/following.py
@@ -181,7 +181,7 @@
     state.operators_revision = changes.revision
     state.view_asked_at = max(state.view_asked_at, asked_at - changes.behind_s)
     if before != after:
-        state.changed.happened()
+        state.changed.notify_all()
 
 
 def _operators_view(state: BoxState) -> tuple[int | None, dict[str, int], frozenset[str]]:
@@ -224,7 +224,7 @@
     _take_cold(state, changes, now)
     _tell_unreadable(state, changes)
     if state.list_changed == state.list_revision:
-        state.changed.happened()
+        state.changed.notify_all()
     after = _standing(state)
     for endpoint_id, standing in after.items():
         if before.get(endpoint_id) != standing:
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -9,12 +9,12 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.routers import Member
+from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, FinishedNotice
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
 from stairquay.serving.telling import told_statements
-from stairquay.serving.waking import Changes
 
 PING_S = 0.4
 """Seconds between two notices that a router sends to the others, so that they share out the engines of one
@@ -40,7 +40,7 @@
         self.ended_by_router: dict[Member, list[Ended]] = {}
         self.read_by_router: dict[Member, list[str]] = {}
         self.telling_by_router: dict[Member, asyncio.Task[None]] = {}
-        self.more = Changes()
+        self.more = ChangeNotifier()
 
     async def run(self) -> None:
         """Tell routers which prompts have ended, until cancelled."""
@@ -53,7 +53,7 @@
     async def ping_others(self) -> None:
         """While this box is a router, have every other one sent a notice, even where nothing has ended."""
         while True:
-            await self.state.changed.until(lambda: self.state.routes)
+            await self.state.changed.wait_for(lambda: self.state.routes)
             self._ping()
             await asyncio.sleep(PING_S)
 
@@ -78,7 +78,7 @@
         waiting = self.ended_by_router.setdefault(router, [])
         if len(waiting) < MAX_NOTICES:
             waiting.append(ended)
-        self.more.happened()
+        self.more.notify_all()
 
     def add_read(self, router: Member, ticket: str) -> None:
         """Have a router told that a prompt has been read; one that is not told in time hears it no more."""
@@ -87,7 +87,7 @@
             return
         self.ended_by_router.setdefault(router, [])
         self.read_by_router.setdefault(router, []).append(ticket)
-        self.more.happened()
+        self.more.notify_all()
 
     def _tell_all(self) -> None:
         """Send each router its notice, one at a time for each; those not heard lately wait."""
@@ -112,14 +112,14 @@
         for router in self.state.live_routers():
             if router.id != self.state.settings.id:
                 self.ended_by_router.setdefault(router, [])
-        self.more.happened()
+        self.more.notify_all()
 
     async def _tell(self, router: Member, notice: FinishedNotice) -> None:
         try:
             answer = await self.links.to(router).finished(notice, NOTICE_ANSWER_S)
         finally:
             del self.telling_by_router[router]
-            self.more.happened()
+            self.more.notify_all()
         if self.links.heard(router, answer, "what has ended") is None:
             # Told again once it is asked again: hearing the same twice changes nothing.
             for item in notice.ended:
--- a/stairquay/serving/orders.py
+++ b/stairquay/serving/orders.py
@@ -52,7 +52,7 @@
             engines = self._behind_now()
             if not engines:
                 self.state.metrics.leading.set(0)
-                await self.state.changed.until(lambda: bool(self._behind_now()))
+                await self.state.changed.wait_for(lambda: bool(self._behind_now()))
                 continue
             if self.held is None and not await self._may_take():
                 continue
--- a/stairquay/serving/quarantine.py
+++ b/stairquay/serving/quarantine.py
@@ -10,9 +10,9 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.crashes import KEPT_S, Crash, Quarantined, quarantined, unexplained
+from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.endpoint import NEVER
-from stairquay.serving.waking import Changes
 
 MOST_OWN = 64
 """Crashes of its own that a box keeps and tells: a row of 6 kB."""
@@ -71,7 +71,7 @@
         self.passed_revision = -1
         self.served_at: OrderedDict[str, float] = OrderedDict()
         self.untold = False
-        self.changed = Changes()
+        self.changed = ChangeNotifier()
         self.verdict: dict[str, Quarantined] = {}
         self.crashes_by_digest: Counter[str] = Counter()
 
@@ -155,7 +155,7 @@
 
     def _tell(self) -> None:
         self.untold = True
-        self.changed.happened()
+        self.changed.notify_all()
 
     def _clear(self, digests: Iterable[str]) -> None:
         now = monotonic()
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -99,7 +99,7 @@
                 if self.state.routes or self.server is not None or self.placed_by_ticket:
                     await asyncio.sleep(REVIEW_S)
                 else:
-                    await self.state.changed.until(lambda: self.state.routes)
+                    await self.state.changed.wait_for(lambda: self.state.routes)
         finally:
             await self._close()
 
--- a/stairquay/serving/sharing.py
+++ b/stairquay/serving/sharing.py
@@ -127,7 +127,7 @@
             cleared = {digest: now - ago_s for digest, ago_s in told.cleared}
             quarantine.take_passed_on(Told(crashes, cleared), revision)
         if told_before != quarantine.router_tells:
-            self.state.changed.happened()
+            self.state.changed.notify_all()
 
     def _endpoints(self, reply: EndpointsReply | None, waiting_s: float) -> EndpointChanges | None:
         self.state.list_passed_on = reply is not None and not self.state.list_too_old(reply.age_s)
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -9,13 +9,13 @@
 from stairquay.core.holdings import Holdings
 from stairquay.core.routers import Member, capacity, followers, placing
 from stairquay.core.versions import VersionHistory
+from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.endpoint import NEVER, EndpointState
 from stairquay.serving.metrics import BoxMetrics
 from stairquay.serving.ports import EngineReport
 from stairquay.serving.quarantine import Quarantine
 from stairquay.serving.settings import BoxSettings
-from stairquay.serving.waking import Changes
 
 TOO_OLD_SHARE = 0.95
 """Share of the time in which a version is to be everywhere after which no request may begin on older ones:
@@ -104,7 +104,7 @@
     body_bytes: int = 0
     stopping: bool = False
     refusing: bool = False
-    changed: Changes = field(default_factory=Changes)
+    changed: ChangeNotifier = field(default_factory=ChangeNotifier)
     quarantine: Quarantine = field(init=False)
 
     def __post_init__(self) -> None:
@@ -140,7 +140,7 @@
         known = self.suspected_until_by_id.get(router, NEVER) > now
         self.suspected_until_by_id[router] = now + for_s
         if not known:
-            self.changed.happened()
+            self.changed.notify_all()
 
     def live_routers(self) -> list[Member]:
         """Return the routers that are not suspected of being gone; this box is never suspected."""
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -52,7 +52,7 @@
         source=source,
         born=born,
     )
-    state.changed.happened()
+    state.changed.notify_all()
 
 
 def _take_rest(
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -41,7 +41,7 @@
         """Look from time to time, until cancelled."""
         while True:
             # Only routers see what store boxes keep.
-            await self.state.changed.until(lambda: self.state.routes)
+            await self.state.changed.wait_for(lambda: self.state.routes)
             await asyncio.sleep(STEP_S)
             catalog = self.state.catalog
             if catalog is None:
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -62,7 +62,7 @@
                 if self.tasks_by_name or self.state.routes:
                     await asyncio.sleep(REVIEW_S)
                 else:
-                    await self.state.changed.until(lambda: self.state.routes)
+                    await self.state.changed.wait_for(lambda: self.state.routes)
         finally:
             for task in self.tasks_by_name.values():
                 task.cancel()
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -6,6 +6,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.routers import Member
+from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.following import apply_operators
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, FinishedNotice, Nothing, OperatorsRequest
@@ -13,7 +14,6 @@
 from stairquay.serving.ports import OperatorChanges
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
-from stairquay.serving.waking import Changes
 from tests.site import eventually
 from tests.states import box_state
 
@@ -23,13 +23,13 @@
 
 def test_all_who_wait_are_woken_and_conditions_are_looked_at_again():
     async def scenario():
-        changes, seen = Changes(), []
-        waiting = [asyncio.create_task(changes.until(lambda n=n: len(seen) > n, 5.0)) for n in range(3)]
+        changes, seen = ChangeNotifier(), []
+        waiting = [asyncio.create_task(changes.wait_for(lambda n=n: len(seen) > n, 5.0)) for n in range(3)]
         for number in range(3):
             await asyncio.sleep(0.01)
             assert [task.done() for task in waiting] == [other < number for other in range(3)]
             seen.append(number)
-            changes.happened()
+            changes.notify_all()
         assert await asyncio.gather(*waiting) == [True, True, True]
 
     asyncio.run(scenario())
@@ -37,10 +37,10 @@
 
 def test_a_condition_that_holds_already_is_not_waited_for_and_one_that_never_does_ends_at_the_limit():
     async def scenario():
-        changes = Changes()
-        assert await changes.until(lambda: True)
+        changes = ChangeNotifier()
+        assert await changes.wait_for(lambda: True)
         began = monotonic()
-        assert not await changes.until(lambda: False, 0.05)
+        assert not await changes.wait_for(lambda: False, 0.05)
         assert monotonic() - began >= 0.05
         assert not changes._waiting
 
@@ -49,7 +49,7 @@
 
 def test_who_is_cancelled_while_waiting_leaves_nothing_behind():
     async def scenario():
-        changes = Changes()
+        changes = ChangeNotifier()
         task = asyncio.create_task(changes.wait(5.0))
         await asyncio.sleep(0)
         task.cancel()
