--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -42,7 +42,7 @@
         began = monotonic()
         assert not await changes.wait_for(lambda: False, 0.05)
         assert monotonic() - began >= 0.05
-        assert not changes._waiting
+        assert not changes._waiters
 
     asyncio.run(scenario())
 
@@ -55,7 +55,7 @@
         task.cancel()
         with pytest.raises(asyncio.CancelledError):
             await task
-        assert not changes._waiting
+        assert not changes._waiters
 
     asyncio.run(scenario())
 
