--- a/stairquay/serving/change_notifier.py
+++ b/stairquay/serving/change_notifier.py
@@ -1,8 +1,4 @@
-"""Waking those who wait for a change, in place of looking for it from time to time.
-
-Hundreds of boxes mostly stand by: each look on a timer wakes a process that then finds nothing to do. With
-seven such timers a box that served nobody woke 50 times a second.
-"""
+"""Notifies tasks in one event loop of changes, so that idle boxes need not poll."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,19 +7,19 @@
 
 
 class ChangeNotifier:
-    """Wakes all who wait whenever something has changed. For one loop: nothing is locked."""
+    """Wakes all waiting tasks when something has changed. Not thread-safe."""
 
     def __init__(self) -> None:
         self._waiters: set[asyncio.Future[None]] = set()
 
     def notify_all(self) -> None:
-        """Wake all who wait now."""
+        """Wake all tasks that are waiting now."""
         waiters, self._waiters = self._waiters, set()
         for future in waiters:
             _resolve(future)
 
     async def wait(self, limit_s: float | None = None) -> None:
-        """Wait for the next change, at most so long."""
+        """Wait for the next change, at most `limit_s` seconds."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[None] = loop.create_future()
         timer = None if limit_s is None else loop.call_later(max(0.0, limit_s), _resolve, future)
@@ -36,10 +32,9 @@
                 timer.cancel()
 
     async def wait_for(self, condition: Callable[[], bool], limit_s: float | None = None) -> bool:
-        """Wait until a change makes a condition hold; tell whether it does, at the latest after the limit.
+        """Wait until a condition holds, at most `limit_s` seconds; return whether it does.
 
-        What the condition rests on may change between two calls of `happened` only by these changes: time
-        alone wakes nobody before the limit.
+        The condition is checked after each `notify_all`, not as time passes.
         """
         deadline = None if limit_s is None else monotonic() + limit_s
         while not condition():
