--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -207,7 +207,7 @@
 async def _listen_metrics(state: BoxState) -> web.AppRunner:
     async def scrape(_: web.Request) -> web.Response:
         state.metrics.in_flight.set(state.in_flight)
-        state.metrics.quarantined.set(len(state.quarantine.verdict))
+        state.metrics.quarantined.set(len(state.quarantine.quarantined_by_digest))
         state.metrics.view_age.set(state.view_age())
         state.metrics.replaced.set(state.oldest_replaced_s())
         state.metrics.left_out.set(state.log.left_out_total)
--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -16,7 +16,7 @@
 from stairquay.core.crashes import KEPT_S, Crash
 from stairquay.core.row import Row
 from stairquay.serving.ports import CrashTable, FeedFault
-from stairquay.serving.quarantine import Told
+from stairquay.serving.quarantine import CrashReport
 from stairquay.serving.state import BoxState
 
 GATHER_S = 0.2
@@ -61,13 +61,13 @@
         """Write this box's row whenever there is something new in it, until cancelled."""
         quarantine = self.state.quarantine
         while True:
-            await quarantine.changed.wait_for(lambda: quarantine.untold)
+            await quarantine.changed.wait_for(lambda: quarantine.unpublished)
             await asyncio.sleep(GATHER_S)
-            while quarantine.untold:
-                quarantine.untold = False
+            while quarantine.unpublished:
+                quarantine.unpublished = False
                 written = await self._write()
                 # More may have come while it was written.
-                quarantine.untold = quarantine.untold or not written
+                quarantine.unpublished = quarantine.unpublished or not written
                 await asyncio.sleep(PAUSE_S if written else AGAIN_S)
 
     async def follow(self) -> None:
@@ -75,7 +75,7 @@
         quarantine = self.state.quarantine
         while True:
             if not self._has_to_follow():
-                quarantine.forget_rows()
+                quarantine.clear_rows()
                 await self.state.changed.wait_for(self._has_to_follow)
             asked_at = monotonic()
             whole = quarantine.rows_revision < 0
@@ -94,7 +94,7 @@
             await asyncio.sleep(READ_PAUSE_S)
 
     def _has_to_follow(self) -> bool:
-        return self.state.follows or not self.state.quarantine.router_tells
+        return self.state.follows or not self.state.quarantine.router_reporting
 
     def _apply(self, changes: Changes, whole: bool) -> None:
         offset = self.table.clock_offset()
@@ -104,15 +104,15 @@
         quarantine = self.state.quarantine
         quarantine.rows_revision = changes.revision
         if whole or told:
-            quarantine.rows_changed = changes.revision
-            quarantine.take_rows(told, whole)
+            quarantine.rows_changed_revision = changes.revision
+            quarantine.apply_rows(told, whole)
 
     async def _remove_old(self, changes: Changes) -> None:
         """Remove rows in which nothing counts any more, as those of boxes that are gone."""
         now = monotonic()
         for row in changes.rows:
-            told = self.state.quarantine.told_by_key.get(row.key)
-            if told is None or any(now - at < KEPT_S for at in told.times()):
+            told = self.state.quarantine.reports_by_key.get(row.key)
+            if told is None or any(now - at < KEPT_S for at in told.timestamps()):
                 continue
             await self.table.commit(Commit("", (Condition(row.key, row.revision),), (Write(row.key, None),)))
 
@@ -124,7 +124,7 @@
         row = CrashRow(
             tuple(
                 (item.digest, item.life, offset.theirs(item.at), item.ran_s, item.events)
-                for item in quarantine.own.values()
+                for item in quarantine.own_crashes.values()
             ),
             tuple((digest, offset.theirs(at)) for digest, at in quarantine.cleared.items()),
         )
@@ -140,20 +140,20 @@
         standing = next((item for item in outcome.rows if item.key == key and item.value is not None), None)
         self.revision = 0 if standing is None else standing.revision
         if standing is not None:
-            quarantine.take_own_row(decode(standing, offset))
+            quarantine.restore_own_row(decode(standing, offset))
         return False
 
 
-def decode(row: Row, offset: ClockOffset) -> Told:
+def decode(row: Row, offset: ClockOffset) -> CrashReport:
     """Return what a row tells, by our clock. One that cannot be read tells nothing."""
     try:
         told = msgspec.json.decode(row.value or "{}", type=CrashRow)
     except msgspec.MsgspecError as error:
         logging.warning("row %s cannot be read: %s", row.key, error)
-        return Told()
+        return CrashReport()
     now = monotonic()
     crashes = (
         Crash(digest, life, min(now, offset.ours(at)), ran_s, events)
         for digest, life, at, ran_s, events in told.crashes
     )
-    return Told(tuple(crashes), {digest: min(now, offset.ours(at)) for digest, at in told.cleared})
+    return CrashReport(tuple(crashes), {digest: min(now, offset.ours(at)) for digest, at in told.cleared})
--- a/stairquay/serving/crashes.py
+++ b/stairquay/serving/crashes.py
@@ -49,7 +49,7 @@
         self.state.log.line(
             Decision.CRASHED, endpoint=endpoint.id, life=life, accepts=accepts, requests=list(suspected)
         )
-        self.state.quarantine.noticed(suspected.values())
+        self.state.quarantine.record_crashes(suspected.values())
 
     def _still_lives(self, endpoint_id: str, born: int) -> bool:
         """Tell whether an endpoint that takes connections is the one that was asked about, not one that has
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -117,7 +117,7 @@
     def _quarantined_s(self, job: Job) -> float:
         """Return for how many more seconds nothing is sent of a job, because it crashes endpoints."""
         quarantine = self.state.quarantine
-        return quarantine.left_s(job.digest) if quarantine.verdict else 0.0
+        return quarantine.remaining_s(job.digest) if quarantine.quarantined_by_digest else 0.0
 
     def _fresh(self, job: Job) -> bool:
         return job.workspace is None or self.state.keys_fresh()
@@ -297,7 +297,7 @@
     def _ended_well(self, job: Job, begun: Begun, reply: Reply, progress: Progress) -> None:
         now = monotonic()
         if reply.status < SERVER_ERROR:
-            self.state.quarantine.served(job.digest)
+            self.state.quarantine.record_served(job.digest)
         begun.held.on_outcome(False, now)
         begun.held.work_s += WORK_WEIGHT * ((now - begun.sent_at) - begun.held.work_s)
         if reply.version is not None:
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -329,15 +329,15 @@
         quarantine, now = self.state.quarantine, monotonic()
         if quarantine.rows_revision < 0 or now - quarantine.rows_asked_at > STALE_S:
             return -1, None
-        if quarantine.rows_changed == known:
+        if quarantine.rows_changed_revision == known:
             return known, None
-        told = quarantine.to_pass_on()
+        told = quarantine.report_to_forward()
         crashes = tuple(
             CrashTold(crash.digest, crash.life, now - crash.at, crash.ran_s, crash.events)
             for crash in told.crashes
         )
         cleared = tuple((digest, now - at) for digest, at in told.cleared.items())
-        return quarantine.rows_changed, CrashesTold(crashes, cleared)
+        return quarantine.rows_changed_revision, CrashesTold(crashes, cleared)
 
     def _endpoints_reply(self, asked: EndpointsRequest) -> EndpointsReply:
         state = self.state
--- a/stairquay/serving/sharing.py
+++ b/stairquay/serving/sharing.py
@@ -25,7 +25,7 @@
     ViewsRequest,
 )
 from stairquay.serving.ports import EndpointChanges, FeedFault, Feeds, OperatorChanges
-from stairquay.serving.quarantine import Told
+from stairquay.serving.quarantine import CrashReport
 from stairquay.serving.state import BoxState
 from stairquay.serving.telling import take_told, told_statements
 
@@ -111,22 +111,22 @@
 
     def _operators_request(self, after: int, held_s: float) -> OperatorsRequest:
         said = told_statements(self.state, monotonic())
-        return OperatorsRequest(after, held_s, self.state.quarantine.passed_revision, said)
+        return OperatorsRequest(after, held_s, self.state.quarantine.router_revision, said)
 
     def _take_crashes(self, revision: int, told: CrashesTold | None) -> None:
         """Take in what a router knows of crashes; a revision of -1 stands for nothing."""
         quarantine, now = self.state.quarantine, monotonic()
-        told_before = quarantine.router_tells
+        told_before = quarantine.router_reporting
         if revision < 0:
-            quarantine.router_ceased()
+            quarantine.end_router_reports()
         elif told is not None:
             crashes = tuple(
                 Crash(item.digest, item.life, now - item.ago_s, item.ran_s, item.events)
                 for item in told.crashes
             )
             cleared = {digest: now - ago_s for digest, ago_s in told.cleared}
-            quarantine.take_passed_on(Told(crashes, cleared), revision)
-        if told_before != quarantine.router_tells:
+            quarantine.apply_router_report(CrashReport(crashes, cleared), revision)
+        if told_before != quarantine.router_reporting:
             self.state.changed.notify_all()
 
     def _endpoints(self, reply: EndpointsReply | None, waiting_s: float) -> EndpointChanges | None:
--- a/tests/test_crash_rows.py
+++ b/tests/test_crash_rows.py
@@ -56,7 +56,7 @@
     standing = row("b-1", 5, ("before", 1, 10.0))
     table = Table(Ok(Conflict((standing,))))
     state, rows = box(monkeypatch, table)
-    state.quarantine.noticed([Crash("new", "e-2", NOW - 1.0, 0.1, 0)])
+    state.quarantine.record_crashes([Crash("new", "e-2", NOW - 1.0, 0.1, 0)])
     assert not asyncio.run(rows._write())
     assert asyncio.run(rows._write())
     assert table.commits[-1].conditions[0].revision == 5
@@ -67,7 +67,7 @@
 def test_a_row_that_another_box_removed_is_written_anew(monkeypatch):
     table = Table(Ok(Committed(3)), Ok(Conflict((Row("b-1", None, 4),))))
     state, rows = box(monkeypatch, table)
-    state.quarantine.noticed([Crash("new", "e-2", NOW - 1.0, 0.1, 0)])
+    state.quarantine.record_crashes([Crash("new", "e-2", NOW - 1.0, 0.1, 0)])
     assert asyncio.run(rows._write())
     assert not asyncio.run(rows._write())
     assert asyncio.run(rows._write())
@@ -77,7 +77,7 @@
 def test_a_write_without_an_answer_is_made_again(monkeypatch):
     table = Table(Err(PlatformFault.UNKNOWN))
     state, rows = box(monkeypatch, table)
-    state.quarantine.noticed([Crash("new", "e-2", NOW - 1.0, 0.1, 0)])
+    state.quarantine.record_crashes([Crash("new", "e-2", NOW - 1.0, 0.1, 0)])
     assert not asyncio.run(rows._write()) and asyncio.run(rows._write())
 
 
@@ -100,9 +100,9 @@
     state, rows = box(monkeypatch, Table())
     told = [row(f"b-{number}", number, ("bad", number, 1.0)) for number in (2, 3, 4)]
     rows._apply(Changes(9, (*told, Row("b-5", "]", 5))), whole=True)
-    assert state.quarantine.left_s("bad") > KEPT_S - 2
+    assert state.quarantine.remaining_s("bad") > KEPT_S - 2
     rows._apply(Changes(10, (Row("b-4", None, 10),)), whole=False)
-    assert state.quarantine.left_s("bad") == 0
+    assert state.quarantine.remaining_s("bad") == 0
 
 
 def test_times_in_a_row_are_those_of_the_table_service(monkeypatch):
@@ -112,9 +112,9 @@
 
 def test_one_crash_of_a_request_that_was_then_served_is_forgotten():
     quarantine = box_state().quarantine
-    quarantine.noticed([Crash("a", "e-1", 0.0, 0.1, 0)])
-    quarantine.served("a")
-    assert not quarantine.own and not quarantine.cleared
+    quarantine.record_crashes([Crash("a", "e-1", 0.0, 0.1, 0)])
+    quarantine.record_served("a")
+    assert not quarantine.own_crashes and not quarantine.cleared
 
 
 class HeldTable(Table):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from stairquay.core.crashes import KEPT_S, LEAST_CRASHES, Crash, quarantined
-from stairquay.serving.quarantine import MOST_OWN, MOST_PASSED, MOST_SERVED, Quarantine, Told
+from stairquay.serving.quarantine import MAX_FORWARDED, MAX_OWN_CRASHES, MAX_SERVED, CrashReport, Quarantine
 from tests.states import box_state
 
 GUILTY = "guilty"
@@ -19,12 +19,12 @@
 
 
 def pass_on(sender: Quarantine, receiver: Quarantine) -> None:
-    receiver.take_passed_on(sender.to_pass_on(), 1)
+    receiver.apply_router_report(sender.report_to_forward(), 1)
 
 
 def tell(sender: Quarantine, reader: Quarantine, key: str = "other") -> None:
     """Have one box read what another one wrote."""
-    reader.take_rows({key: Told(tuple(sender.own.values()), dict(sender.cleared))}, False)
+    reader.apply_rows({key: CrashReport(tuple(sender.own_crashes.values()), dict(sender.cleared))}, False)
 
 
 BESIDE = st.lists(st.sets(st.integers(0, 5), max_size=6), min_size=1, max_size=12)
@@ -65,11 +65,11 @@
 def test_what_a_router_told_counts_until_the_rows_are_read_after_it(monkeypatch):
     monkeypatch.setattr("stairquay.serving.quarantine.monotonic", lambda: 10.0)
     here = box()
-    here.take_passed_on(Told(tuple(crash(GUILTY, life, at=9.0) for life in range(3))), 1)
-    here.router_ceased()
-    assert here.left_s(GUILTY) > 0
-    here.take_rows({}, whole=True)
-    assert here.left_s(GUILTY) == 0
+    here.apply_router_report(CrashReport(tuple(crash(GUILTY, life, at=9.0) for life in range(3))), 1)
+    here.end_router_reports()
+    assert here.remaining_s(GUILTY) > 0
+    here.apply_rows({}, whole=True)
+    assert here.remaining_s(GUILTY) == 0
 
 
 def test_between_equals_the_one_that_ran_shortest_is_taken_and_the_next_crash_puts_a_mistake_right():
@@ -90,55 +90,55 @@
 def test_a_request_that_any_box_served_is_above_suspicion_everywhere(monkeypatch):
     monkeypatch.setattr("stairquay.serving.quarantine.monotonic", lambda: 10.0)
     follower, crashed, served = box(), box(), box()
-    served.served("popular")
-    crashed.noticed(crash("popular", life, at=9.0) for life in range(4))
+    served.record_served("popular")
+    crashed.record_crashes(crash("popular", life, at=9.0) for life in range(4))
     tell(crashed, follower)
-    assert follower.left_s("popular") > 0
+    assert follower.remaining_s("popular") > 0
     pass_on(follower, served)
-    assert served.left_s("popular") == 0 and served.untold
+    assert served.remaining_s("popular") == 0 and served.unpublished
     tell(served, follower, "served")
     pass_on(follower, crashed)
-    assert crashed.left_s("popular") == follower.left_s("popular") == 0
+    assert crashed.remaining_s("popular") == follower.remaining_s("popular") == 0
 
 
 def test_a_box_that_served_a_request_lately_does_not_count_crashes_against_it(monkeypatch):
     now = 10.0
     monkeypatch.setattr("stairquay.serving.quarantine.monotonic", lambda: now)
     here = box()
-    here.served("popular")
-    here.noticed(crash("popular", life, at=now) for life in range(4))
-    assert here.left_s("popular") == 0
+    here.record_served("popular")
+    here.record_crashes(crash("popular", life, at=now) for life in range(4))
+    assert here.remaining_s("popular") == 0
     now = 100.0
-    here.noticed(crash("popular", life, at=now) for life in range(4, 8))
-    assert here.left_s("popular") > 0
+    here.record_crashes(crash("popular", life, at=now) for life in range(4, 8))
+    assert here.remaining_s("popular") > 0
 
 
 def test_who_ran_beside_is_released_once_the_cause_is_told(monkeypatch):
     monkeypatch.setattr("stairquay.serving.quarantine.monotonic", lambda: 10.0)
     follower, here, there = box(), box(), box()
-    here.noticed(crash("well", life, at=9.0) for life in range(3))
-    there.noticed(crash(GUILTY, life, at=9.0, ran_s=0.05) for life in range(4))
-    assert here.left_s("well") > 0
+    here.record_crashes(crash("well", life, at=9.0) for life in range(3))
+    there.record_crashes(crash(GUILTY, life, at=9.0, ran_s=0.05) for life in range(4))
+    assert here.remaining_s("well") > 0
     tell(here, follower, "here")
     tell(there, follower, "there")
     pass_on(follower, here)
-    assert here.left_s("well") == 0 and here.left_s(GUILTY) > 0
+    assert here.remaining_s("well") == 0 and here.remaining_s(GUILTY) > 0
 
 
 def test_what_a_box_keeps_and_passes_on_is_bounded(monkeypatch):
     monkeypatch.setattr("stairquay.serving.quarantine.monotonic", lambda: 10.0)
     here = box()
     for life in range(30):
-        here.noticed(crash(f"d-{number}", life, at=9.0) for number in range(40))
-    for number in range(3 * MOST_SERVED):
-        here.served(f"s-{number}")
-    for number in range(3 * MOST_OWN):
+        here.record_crashes(crash(f"d-{number}", life, at=9.0) for number in range(40))
+    for number in range(3 * MAX_SERVED):
+        here.record_served(f"s-{number}")
+    for number in range(3 * MAX_OWN_CRASHES):
         here.cleared[f"c-{number}"] = 9.0
-    here.noticed([])
-    assert len(here.own) == MOST_OWN and len(here.served_at) == MOST_SERVED
-    assert len(here.cleared) == MOST_OWN
-    told = here.to_pass_on()
-    assert 0 < len(told.crashes) <= MOST_PASSED and len(told.cleared) == MOST_PASSED
+    here.record_crashes([])
+    assert len(here.own_crashes) == MAX_OWN_CRASHES and len(here.served_at) == MAX_SERVED
+    assert len(here.cleared) == MAX_OWN_CRASHES
+    told = here.report_to_forward()
+    assert 0 < len(told.crashes) <= MAX_FORWARDED and len(told.cleared) == MAX_FORWARDED
 
 
 def test_a_request_that_ran_on_elsewhere_did_not_crash_the_endpoints_before():
