--- a/stairquay/serving/quarantine.py
+++ b/stairquay/serving/quarantine.py
@@ -208,8 +208,8 @@
         )
         before, self.quarantined_by_digest = self.quarantined_by_digest, quarantined(crashes, monotonic())
         for digest in self.quarantined_by_digest.keys() - before.keys():
-            lives = [crash.life for crash in self.quarantined_by_digest[digest].crashes]
-            self.log.line(Decision.QUARANTINE, outcome="begun", digest=digest, crashed=lives)
+            incarnations = [crash.life for crash in self.quarantined_by_digest[digest].crashes]
+            self.log.line(Decision.QUARANTINE, outcome="begun", digest=digest, crashed=incarnations)
         for digest in before.keys() - self.quarantined_by_digest.keys():
             self.log.line(Decision.QUARANTINE, outcome="ended", digest=digest)
 
