--- a/stairquay/serving/quarantine.py
+++ b/stairquay/serving/quarantine.py
@@ -1,7 +1,7 @@
-"""What a box knows of requests that crash endpoints, and which of them it sends no more.
+"""Quarantines requests that crash endpoints.
 
-A request that crashes each endpoint that begins it comes again at any box. So boxes tell each other of
-crashes (`stairquay.serving.crash_rows`), and judge by those of all.
+Callers retry such a request at any box, so each box also counts the crashes that other boxes report (see
+`stairquay.serving.crash_rows`).
 """
 
 from collections import Counter, OrderedDict
@@ -15,47 +15,49 @@
 from stairquay.serving.endpoint import NEVER
 
 MAX_OWN_CRASHES = 64
-"""Crashes of its own that a box keeps and tells: a row of 6 kB."""
+"""Crashes that a box detected itself, keeps and publishes; their row takes about 6 kB."""
 
 MAX_PEER_CRASHES = 4_000
-"""Crashes of other boxes' rows that a box keeps: about 1 MB. A box that follows the rows for others has
-them."""
+"""Crashes reported by other boxes that a box evaluates."""
 
 MAX_FORWARDED = 48
-"""Crashes that a router passes on in one answer, 3 kB."""
+"""Crashes that a router forwards in one reply, about 3 kB; also the limit for clearances."""
 
 MAX_FORWARDED_PER_REQUEST = 8
-"""Crashes of one request that it passes on."""
+"""Crashes of one request that a router forwards in one reply."""
 
 SERVED_TRUST_S = 60.0
-"""Seconds for which a request that was answered whole is above suspicion: its like ran beside another one, or
-its endpoints were lost for another reason. One that begins to crash endpoints goes on that much longer."""
+"""Seconds after a complete answer in which crashes do not count against the request."""
 
 MAX_SERVED = 2_000
-"""Such requests that a box remembers, 0.4 MB; a busy box serves about 30 a second."""
+"""Completed requests that a box remembers."""
 
 
 @dataclass(frozen=True)
 class CrashReport:
-    """What a box's row tells: crashes, and when requests were found to be above suspicion."""
+    """Crashes that a box reports, and when it cleared requests of suspicion (by digest).
+
+    Times are in monotonic seconds.
+    """
 
     crashes: tuple[Crash, ...] = ()
     cleared: Mapping[str, float] = field(default_factory=dict)
 
     def timestamps(self) -> list[float]:
-        """Return when all that it tells happened."""
+        """Return the times of all crashes and clearances."""
         return [*(crash.at for crash in self.crashes), *self.cleared.values()]
 
 
 class Quarantine:
-    """Crashes that a box knows of.
-
-    own: those that it noticed. cleared: when it found that a request is above suspicion. told_by_key: what
-    boxes' rows tell, for a box that follows them; rows_revision: up to which revision, -1 for none;
-    rows_changed: the revision at which they last changed; rows_asked_at: when they were last asked for.
-    passed_on: what a router told last, until the rows were read after it; router_tells: one does now;
-    passed_revision: its `rows_changed`. served_at: when this box last served a request whole. untold: there
-    is something that its row does not tell yet.
+    """Crashes known to this box, and the requests that it quarantines for them.
+
+    own_crashes: detected by this box, by request digest and endpoint incarnation. cleared: when this box
+    cleared a request. reports_by_key: reports in boxes' rows, if this box follows them; rows_revision:
+    revision of its view of them, -1 for none; rows_changed_revision: revision of their last change;
+    rows_asked_at: when they were last requested. router_report: latest report from a router, kept until the
+    rows are read; router_reporting: whether a router reports now; router_revision: its
+    `rows_changed_revision`. served_at: when this box last answered a request completely. unpublished: this
+    box's row is out of date. Times are in monotonic seconds.
     """
 
     def __init__(self, log: DecisionLog) -> None:
@@ -76,12 +78,12 @@
         self.crashes_by_digest: Counter[str] = Counter()
 
     def remaining_s(self, digest: str) -> float:
-        """Return for how many more seconds a request is not sent, 0 where it may be."""
+        """Return the seconds left of a request's quarantine, 0 if it is not quarantined."""
         entry = self.quarantined_by_digest.get(digest)
         return 0.0 if entry is None else max(0.0, entry.until - monotonic())
 
     def record_crashes(self, crashes: Iterable[Crash]) -> None:
-        """Take in that an endpoint crashed while these requests were there."""
+        """Record crashes that this box detected, except of requests that it served lately."""
         now = monotonic()
         for crash in crashes:
             if now - self.served_at.get(crash.digest, NEVER) > SERVED_TRUST_S:
@@ -91,7 +93,7 @@
         self._update_quarantine()
 
     def record_served(self, digest: str) -> None:
-        """Take in that a request was answered whole: it does not crash each endpoint that begins it."""
+        """Record that a request was answered completely, which clears it of suspicion."""
         self.served_at[digest] = monotonic()
         self.served_at.move_to_end(digest)
         if len(self.served_at) > MAX_SERVED:
@@ -99,11 +101,11 @@
         if self.crashes_by_digest.get(digest, 0) > 1:
             self._clear_suspicion([digest])
         else:
-            # One crash alone is not worth a row.
+            # A single crash is dropped without publishing a clearance.
             self.own_crashes = {key: crash for key, crash in self.own_crashes.items() if key[0] != digest}
 
     def apply_rows(self, reports_by_key: Mapping[str, CrashReport | None], whole: bool) -> None:
-        """Take in boxes' rows, None for one that is gone. whole: there are no others."""
+        """Apply changed rows, None for a deleted one. whole: these are all rows."""
         if whole:
             self.reports_by_key.clear()
             if not self.router_reporting:
@@ -116,7 +118,7 @@
         self._on_reports_changed()
 
     def restore_own_row(self, report: CrashReport) -> None:
-        """Take in what a process of this box before this one wrote into its row."""
+        """Merge in the row that an earlier process of this box wrote."""
         self.own_crashes = {(crash.digest, crash.life): crash for crash in report.crashes} | self.own_crashes
         self.cleared = dict(report.cleared) | self.cleared
         self._prune_own_crashes(monotonic())
@@ -124,25 +126,25 @@
         self._on_reports_changed()
 
     def clear_rows(self) -> None:
-        """Forget all rows: this box follows them no longer."""
+        """Drop all rows, as this box no longer follows them."""
         self.reports_by_key.clear()
         self.rows_revision = -1
 
     def apply_router_report(self, report: CrashReport, revision: int) -> None:
-        """Take in what a router told."""
+        """Replace the router's report. revision: its `rows_changed_revision`."""
         self.router_reporting = True
         self.router_report = report
         self.router_revision = revision
         self._on_reports_changed()
 
     def end_router_reports(self) -> None:
-        """Take in that no router tells any more. What the last one told counts until the rows are read."""
+        """Note that no router reports now. Its last report is used until the rows are read."""
         self.router_reporting = False
         self.router_revision = -1
 
     def report_to_forward(self) -> CrashReport:
-        """Return what other boxes need to know: the crashes of quarantined requests, those of requests under
-        which more than one endpoint crashed, and which requests are above suspicion."""
+        """Return the report for boxes that do not follow the rows: crashes of quarantined requests and of
+        those that more than one endpoint crashed under, and clearances."""
         by_digest: dict[str, list[Crash]] = {}
         for crash in unexplained(self._counted_crashes(), self.quarantined_by_digest):
             by_digest.setdefault(crash.digest, []).append(crash)
@@ -167,7 +169,7 @@
         self._update_quarantine()
 
     def _on_reports_changed(self) -> None:
-        """Judge anew, and clear those that this box has served."""
+        """Update the quarantine, and clear suspected requests that this box has served."""
         self._update_quarantine()
         now = monotonic()
         served = [
@@ -182,7 +184,7 @@
         return [*self.reports_by_key.values(), self.router_report]
 
     def _latest_clearances(self) -> dict[str, float]:
-        """Return when requests were last found to be above suspicion, by any box."""
+        """Return by digest when any box last cleared a request."""
         cleared = dict(self.cleared)
         for report in self._received_reports():
             for digest, at in report.cleared.items():
@@ -190,7 +192,7 @@
         return cleared
 
     def _counted_crashes(self) -> list[Crash]:
-        """Return all crashes that count, each as often as it is told."""
+        """Return the crashes that no later clearance covers, duplicates included."""
         received = [crash for source in self._received_reports() for crash in source.crashes]
         if len(received) > MAX_PEER_CRASHES:
             received = sorted(received, key=_newest_first)[:MAX_PEER_CRASHES]
@@ -214,7 +216,7 @@
             self.log.line(Decision.QUARANTINE, outcome="ended", digest=digest)
 
     def _prune_own_crashes(self, now: float) -> None:
-        """Forget own crashes that count no more, and the oldest beyond the most that are kept."""
+        """Drop own crashes and clearances that are expired, cleared, or beyond MAX_OWN_CRASHES."""
         cleared = sorted(self.cleared.items(), key=lambda item: -item[1])[:MAX_OWN_CRASHES]
         self.cleared = {digest: at for digest, at in cleared if now - at < KEPT_S}
         counted = [
@@ -227,5 +229,5 @@
 
 
 def _newest_first(crash: Crash) -> float:
-    """Return a key that sorts the newest first."""
+    """Return a sort key that puts the newest first."""
     return -crash.at
