--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -18,8 +18,8 @@
 from stairquay.serving.asking import Chooser
 from stairquay.serving.boxes import BoxList
 from stairquay.serving.cold import cold_for_s
+from stairquay.serving.crash_detector import CrashDetector
 from stairquay.serving.crash_rows import CrashRows
-from stairquay.serving.crashes import CrashWatch
 from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.dispatch import Dispatcher
 from stairquay.serving.following import follow_endpoints, follow_operators
@@ -74,7 +74,7 @@
     router = RouterPart(state, chance)
     notices = Notices(state, links, router)
     chooser = Chooser(state, links, router, notices, chance)
-    crashes = CrashWatch(state, surroundings.peers)
+    crashes = CrashDetector(state, surroundings.peers)
     dispatcher = Dispatcher(state, surroundings.endpoints, chooser, crashes)
     front = Front(state, surroundings.callers, dispatcher, chance)
     tasks = Tasks()
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -13,7 +13,7 @@
 from stairquay.core.errors import ErrorKind, Ran, Refusal
 from stairquay.serving.asking import Chooser
 from stairquay.serving.choosing import Choice
-from stairquay.serving.crashes import CrashWatch
+from stairquay.serving.crash_detector import CrashDetector
 from stairquay.serving.endpoint import FULL_PAUSE_S
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Begun, Job, Progress
@@ -59,7 +59,9 @@
 class Dispatcher:
     """Sends jobs to endpoints."""
 
-    def __init__(self, state: BoxState, endpoints: Endpoints, chooser: Chooser, crashes: CrashWatch) -> None:
+    def __init__(
+        self, state: BoxState, endpoints: Endpoints, chooser: Chooser, crashes: CrashDetector
+    ) -> None:
         self.state = state
         self.endpoints = endpoints
         self.chooser = chooser
@@ -291,7 +293,7 @@
             if _unreached(failure):
                 begun.held.doubted_at = now
         if failure.broke:
-            self.crashes.broke(job, begun, progress.stream.events)
+            self.crashes.connection_broken(job, begun, progress.stream.events)
         record_failed(self.state, job, begun, failure, now)
 
     def _ended_well(self, job: Job, begun: Begun, reply: Reply, progress: Progress) -> None:
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -15,7 +15,7 @@
 from stairquay.core.errors import ErrorKind, Ran
 from stairquay.core.fleet import Endpoint as Listed
 from stairquay.serving.choosing import Choice, Wanted, choose
-from stairquay.serving.crashes import CrashWatch
+from stairquay.serving.crash_detector import CrashDetector
 from stairquay.serving.dispatch import Dispatcher
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.jobs import Job, Progress
@@ -145,7 +145,7 @@
         ports = LateNews(state, said)
         now = monotonic()
         job = Job(call, b"", CATALOG, route, CATALOG.services_by_id["plain"], None, now, now + 5.0)
-        ended = asyncio.run(Dispatcher(state, ports, ports, CrashWatch(state, None)).run(job, None))
+        ended = asyncio.run(Dispatcher(state, ports, ports, CrashDetector(state, None)).run(job, None))
         assert ports.may_go == [goes] and ended.err_value.ran == Ran.NOT_RUN
 
 
