--- a/stairquay/serving/crash_detector.py
+++ b/stairquay/serving/crash_detector.py
@@ -1,7 +1,7 @@
-"""Finds out which endpoints crashed, and under which requests.
+"""Detects crashed endpoints, and records the requests that were running there.
 
-A connection that breaks may have been reset alone. Whether its endpoint has crashed is asked at once, since
-its entry in the list goes only after some seconds.
+A broken connection alone does not prove a crash, and a crashed endpoint stays listed for seconds. So the
+endpoint is probed at once.
 """
 
 import asyncio
@@ -16,7 +16,10 @@
 
 
 class CrashDetector:
-    """Asks after endpoints whose connections broke."""
+    """Probes endpoints whose connections broke.
+
+    crashes_by_incarnation: by request digest, the crashes to record if the probe under way finds one.
+    """
 
     def __init__(self, state: BoxState, peers: Peers) -> None:
         self.state = state
@@ -25,8 +28,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def connection_broken(self, job: Job, begun: Begun, events: int) -> None:
-        """Take in that an endpoint's connection broke while it had a request, after so many events of the
-        answer."""
+        """Probe the endpoint of a broken connection. events: events of the answer received before."""
         endpoint, now = begun.choice.endpoint, monotonic()
         incarnation = f"{endpoint.id}/{begun.held.born}"
         suspected = self.crashes_by_incarnation.get(incarnation)
@@ -40,7 +42,10 @@
         )
 
     async def _probe(self, endpoint: Endpoint, incarnation: str, born: int) -> None:
-        """Find out whether a life of an endpoint has ended; all connections of a crash break within that."""
+        """Record a crash unless this incarnation of the endpoint still runs.
+
+        Further connections that break during the probe are part of the same crash.
+        """
         try:
             accepts = await self.peers.accepts(endpoint.address)
         finally:
@@ -58,13 +63,14 @@
         self.state.quarantine.record_crashes(suspected.values())
 
     def _is_still_running(self, endpoint_id: str, born: int) -> bool:
-        """Tell whether an endpoint that takes connections is the one that was asked about, not one that has
-        started at its address since."""
+        """Return whether an endpoint is still listed, and was not restarted at its address."""
         known = self.state.endpoints_by_id.get(endpoint_id)
         return endpoint_id in self.state.fleet.by_id and known is not None and known.born == born
 
 
 def _events_received(job: Job, begun: Begun, events: int) -> int | None:
-    """Return how far an answer had come, None where an engine had not begun it. Plain services answer when
-    they are done, so that nobody knows whether they had begun."""
+    """Return the events of the answer received, None if an engine had not begun to answer.
+
+    Plain services send nothing before they are done, so their count is used as it is.
+    """
     return None if job.service.engine is not None and not begun.replied else events
