--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -19,7 +19,7 @@
 from stairquay.serving.boxes import BoxList
 from stairquay.serving.cold import cold_for_s
 from stairquay.serving.crash_detector import CrashDetector
-from stairquay.serving.crash_rows import CrashRows
+from stairquay.serving.crash_rows import CrashRowSync
 from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.dispatch import Dispatcher
 from stairquay.serving.following import follow_endpoints, follow_operators
@@ -105,7 +105,7 @@
 ) -> dict[str, Work]:
     """Return by name what runs besides callers' requests, each until cancelled."""
     feeds = SharedFeeds(state, surroundings.feeds, links)
-    crash_rows = CrashRows(state, surroundings.crashes)
+    crash_rows = CrashRowSync(state, surroundings.crashes)
     return {
         "log": state.log.run,
         "links": links.run,
@@ -118,7 +118,7 @@
         "orders": OrderGiver(state, surroundings.own, surroundings.peers).run,
         "boxes": BoxList(state, surroundings.own, chance).run,
         "upkeep": Upkeep(state, surroundings.peers).run,
-        "crashes told": crash_rows.tell,
+        "crashes told": crash_rows.publish,
         "crashes followed": crash_rows.follow,
     }
 
--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -19,18 +19,18 @@
 from stairquay.serving.quarantine import CrashReport
 from stairquay.serving.state import BoxState
 
-GATHER_S = 0.2
+BATCH_S = 0.2
 """Seconds for which crashes are gathered before they are written: all connections of one break within
 that."""
 
-PAUSE_S = 0.8
+WRITE_PAUSE_S = 0.8
 """Seconds between two writes of a box: every call is priced. What it tells is known everywhere within 2 s."""
 
-AGAIN_S = 0.4
+RETRY_S = 0.4
 """Seconds before a call that got no answer is made again. After an outage, a call under way may hang for 2.7
 s; with 1 s before the next one, a crash was known at all boxes 3.4 s after the outage, in a soak."""
 
-WAIT_S = 2.0
+LONG_POLL_S = 2.0
 """Seconds for which a call waits for changes of rows: every call is priced, and two routers always wait."""
 
 READ_PAUSE_S = 0.2
@@ -49,7 +49,7 @@
     cleared: tuple[tuple[str, float], ...] = ()
 
 
-class CrashRows:
+class CrashRowSync:
     """Writes this box's row, and follows those of all while no router tells of them."""
 
     def __init__(self, state: BoxState, table: CrashTable) -> None:
@@ -57,62 +57,62 @@
         self.table = table
         self.revision = 0
 
-    async def tell(self) -> None:
+    async def publish(self) -> None:
         """Write this box's row whenever there is something new in it, until cancelled."""
         quarantine = self.state.quarantine
         while True:
             await quarantine.changed.wait_for(lambda: quarantine.unpublished)
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_S)
             while quarantine.unpublished:
                 quarantine.unpublished = False
                 written = await self._write()
                 # More may have come while it was written.
                 quarantine.unpublished = quarantine.unpublished or not written
-                await asyncio.sleep(PAUSE_S if written else AGAIN_S)
+                await asyncio.sleep(WRITE_PAUSE_S if written else RETRY_S)
 
     async def follow(self) -> None:
         """Keep to what boxes' rows tell, as long as this box has to read them itself, until cancelled."""
         quarantine = self.state.quarantine
         while True:
-            if not self._has_to_follow():
+            if not self._must_follow():
                 quarantine.clear_rows()
-                await self.state.changed.wait_for(self._has_to_follow)
+                await self.state.changed.wait_for(self._must_follow)
             asked_at = monotonic()
             whole = quarantine.rows_revision < 0
             answer = await (
-                self.table.read() if whole else self.table.follow(quarantine.rows_revision, WAIT_S)
+                self.table.read() if whole else self.table.follow(quarantine.rows_revision, LONG_POLL_S)
             )
             if isinstance(answer, Err):
                 if answer.err_value == FeedFault.HISTORY_GONE:
                     quarantine.rows_revision = -1
                     continue
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RETRY_S)
                 continue
             self._apply(answer.ok_value, whole)
             quarantine.rows_asked_at = asked_at
             await self._remove_old(answer.ok_value)
             await asyncio.sleep(READ_PAUSE_S)
 
-    def _has_to_follow(self) -> bool:
+    def _must_follow(self) -> bool:
         return self.state.follows or not self.state.quarantine.router_reporting
 
     def _apply(self, changes: Changes, whole: bool) -> None:
         offset = self.table.clock_offset()
         if offset is None:
             return
-        told = {row.key: None if row.value is None else decode(row, offset) for row in changes.rows}
+        reports = {row.key: None if row.value is None else decode(row, offset) for row in changes.rows}
         quarantine = self.state.quarantine
         quarantine.rows_revision = changes.revision
-        if whole or told:
+        if whole or reports:
             quarantine.rows_changed_revision = changes.revision
-            quarantine.apply_rows(told, whole)
+            quarantine.apply_rows(reports, whole)
 
     async def _remove_old(self, changes: Changes) -> None:
         """Remove rows in which nothing counts any more, as those of boxes that are gone."""
         now = monotonic()
         for row in changes.rows:
-            told = self.state.quarantine.reports_by_key.get(row.key)
-            if told is None or any(now - at < KEPT_S for at in told.timestamps()):
+            report = self.state.quarantine.reports_by_key.get(row.key)
+            if report is None or any(now - at < KEPT_S for at in report.timestamps()):
                 continue
             await self.table.commit(Commit("", (Condition(row.key, row.revision),), (Write(row.key, None),)))
 
@@ -137,23 +137,23 @@
             self.revision = outcome.revision
             return True
         # A process of this box before wrote a row, or a write without an answer was done.
-        standing = next((item for item in outcome.rows if item.key == key and item.value is not None), None)
-        self.revision = 0 if standing is None else standing.revision
-        if standing is not None:
-            quarantine.restore_own_row(decode(standing, offset))
+        current = next((item for item in outcome.rows if item.key == key and item.value is not None), None)
+        self.revision = 0 if current is None else current.revision
+        if current is not None:
+            quarantine.restore_own_row(decode(current, offset))
         return False
 
 
 def decode(row: Row, offset: ClockOffset) -> CrashReport:
     """Return what a row tells, by our clock. One that cannot be read tells nothing."""
     try:
-        told = msgspec.json.decode(row.value or "{}", type=CrashRow)
+        decoded = msgspec.json.decode(row.value or "{}", type=CrashRow)
     except msgspec.MsgspecError as error:
         logging.warning("row %s cannot be read: %s", row.key, error)
         return CrashReport()
     now = monotonic()
     crashes = (
         Crash(digest, life, min(now, offset.ours(at)), ran_s, events)
-        for digest, life, at, ran_s, events in told.crashes
+        for digest, life, at, ran_s, events in decoded.crashes
     )
-    return CrashReport(tuple(crashes), {digest: min(now, offset.ours(at)) for digest, at in told.cleared})
+    return CrashReport(tuple(crashes), {digest: min(now, offset.ours(at)) for digest, at in decoded.cleared})
--- a/tests/test_crash_rows.py
+++ b/tests/test_crash_rows.py
@@ -11,7 +11,7 @@
 from stairquay.core.clock import ClockOffset
 from stairquay.core.crashes import KEPT_S, Crash
 from stairquay.core.row import Row
-from stairquay.serving.crash_rows import CrashRows, decode
+from stairquay.serving.crash_rows import CrashRowSync, decode
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
 from tests.states import box_state
@@ -41,11 +41,11 @@
     return Row(key, json.dumps({"crashes": told, **fields}), revision)
 
 
-def box(monkeypatch, table: Table) -> tuple[BoxState, CrashRows]:
+def box(monkeypatch, table: Table) -> tuple[BoxState, CrashRowSync]:
     for module in ("crash_rows", "quarantine"):
         monkeypatch.setattr(f"stairquay.serving.{module}.monotonic", lambda: NOW)
     state = box_state()
-    return state, CrashRows(state, table)
+    return state, CrashRowSync(state, table)
 
 
 def written(table: Table) -> list[str]:
@@ -138,7 +138,7 @@
         state = box_state()
         state.routers = (state.member,)
         table = HeldTable()
-        rows, router = CrashRows(state, table), RouterPart(state, Random(1))
+        rows, router = CrashRowSync(state, table), RouterPart(state, Random(1))
         following = asyncio.create_task(rows.follow())
         await asyncio.sleep(0.1)
         while table.questions < 4:
