--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -153,7 +153,7 @@
         return CrashReport()
     now = monotonic()
     crashes = (
-        Crash(digest, life, min(now, offset.ours(at)), ran_s, events)
-        for digest, life, at, ran_s, events in decoded.crashes
+        Crash(digest, incarnation, min(now, offset.ours(at)), ran_s, events)
+        for digest, incarnation, at, ran_s, events in decoded.crashes
     )
     return CrashReport(tuple(crashes), {digest: min(now, offset.ours(at)) for digest, at in decoded.cleared})
