--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -1,7 +1,7 @@
-"""Shares what boxes know of crashes: each writes a row of its own, and some read those of all.
+"""Shares crash reports between boxes through rows in the table service, one row for each box.
 
-Routers that follow the table service do so for the others, which get what matters with their view of
-operators' rows. A box that no router tells reads the rows itself.
+Routers that follow the table service read all rows and forward a summary with their view of operators' rows.
+A box without such a router reads the rows itself.
 """
 
 import asyncio
@@ -20,37 +20,39 @@
 from stairquay.serving.state import BoxState
 
 BATCH_S = 0.2
-"""Seconds for which crashes are gathered before they are written: all connections of one break within
-that."""
+"""Seconds for which crashes are collected before a write, since a crash breaks many connections."""
 
 WRITE_PAUSE_S = 0.8
-"""Seconds between two writes of a box: every call is priced. What it tells is known everywhere within 2 s."""
+"""Seconds between two writes of a box, since calls to the table service are billed."""
 
 RETRY_S = 0.4
-"""Seconds before a call that got no answer is made again. After an outage, a call under way may hang for 2.7
-s; with 1 s before the next one, a crash was known at all boxes 3.4 s after the outage, in a soak."""
+"""Seconds before a failed call is retried."""
 
 LONG_POLL_S = 2.0
-"""Seconds for which a call waits for changes of rows: every call is priced, and two routers always wait."""
+"""Seconds for which a call waits for changes of rows."""
 
 READ_PAUSE_S = 0.2
-"""Seconds between two such calls, in which the rows of many boxes come together."""
+"""Seconds between two such calls, so that one call returns the changes of many boxes."""
 
 STALE_S = 5.2
-"""Seconds after which what a box read of the rows is too old to pass on. What was read last is that old when
-two calls that wait have followed each other, and the second one got its answer as late as it may: 4.9 s."""
+"""Seconds after which a box's view of the rows is too old to forward. It exceeds the duration of two long
+polls in a row, the second one answered as late as its timeout allows."""
 
 
 class CrashRow(msgspec.Struct, frozen=True):
-    """A box's row: [digest, life, at, ran_s, events] of crashes, and [digest, at] of requests that are
-    above suspicion. Times are seconds of the table service's clock."""
+    """A box's row.
+
+    crashes: [digest, incarnation, at, ran_s, events], as in core.crashes.Crash. cleared: [digest, at] of
+    requests cleared of suspicion. Times are seconds of the table service's clock.
+    """
 
     crashes: tuple[tuple[str, str, float, float, int | None], ...] = ()
     cleared: tuple[tuple[str, float], ...] = ()
 
 
 class CrashRowSync:
-    """Writes this box's row, and follows those of all while no router tells of them."""
+    """Writes this box's row, and follows all rows while no router forwards them. revision: that of this box's
+    row, 0 if it has none."""
 
     def __init__(self, state: BoxState, table: CrashTable) -> None:
         self.state = state
@@ -58,7 +60,7 @@
         self.revision = 0
 
     async def publish(self) -> None:
-        """Write this box's row whenever there is something new in it, until cancelled."""
+        """Write this box's row whenever it is out of date, until cancelled."""
         quarantine = self.state.quarantine
         while True:
             await quarantine.changed.wait_for(lambda: quarantine.unpublished)
@@ -66,12 +68,12 @@
             while quarantine.unpublished:
                 quarantine.unpublished = False
                 written = await self._write()
-                # More may have come while it was written.
+                # A crash may have been recorded during the write.
                 quarantine.unpublished = quarantine.unpublished or not written
                 await asyncio.sleep(WRITE_PAUSE_S if written else RETRY_S)
 
     async def follow(self) -> None:
-        """Keep to what boxes' rows tell, as long as this box has to read them itself, until cancelled."""
+        """Apply the rows of all boxes while this box has to read them itself, until cancelled."""
         quarantine = self.state.quarantine
         while True:
             if not self._must_follow():
@@ -108,7 +110,7 @@
             quarantine.apply_rows(reports, whole)
 
     async def _remove_old(self, changes: Changes) -> None:
-        """Remove rows in which nothing counts any more, as those of boxes that are gone."""
+        """Delete rows whose entries have all expired, such as those of boxes that are gone."""
         now = monotonic()
         for row in changes.rows:
             report = self.state.quarantine.reports_by_key.get(row.key)
@@ -117,7 +119,7 @@
             await self.table.commit(Commit("", (Condition(row.key, row.revision),), (Write(row.key, None),)))
 
     async def _write(self) -> bool:
-        """Write this box's row; tell whether it stands there now."""
+        """Write this box's row; return whether it was committed."""
         offset, quarantine = self.table.clock_offset(), self.state.quarantine
         if offset is None:
             return False
@@ -136,7 +138,7 @@
         if isinstance(outcome, Committed):
             self.revision = outcome.revision
             return True
-        # A process of this box before wrote a row, or a write without an answer was done.
+        # An earlier process of this box wrote the row, or a write whose answer was lost succeeded.
         current = next((item for item in outcome.rows if item.key == key and item.value is not None), None)
         self.revision = 0 if current is None else current.revision
         if current is not None:
@@ -145,11 +147,11 @@
 
 
 def decode(row: Row, offset: ClockOffset) -> CrashReport:
-    """Return what a row tells, by our clock. One that cannot be read tells nothing."""
+    """Return a row's report with times of this box's clock; an empty one if the row is malformed."""
     try:
         decoded = msgspec.json.decode(row.value or "{}", type=CrashRow)
     except msgspec.MsgspecError as error:
-        logging.warning("row %s cannot be read: %s", row.key, error)
+        logging.warning("cannot decode crash row %s: %s", row.key, error)
         return CrashReport()
     now = monotonic()
     crashes = (
