--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -25,7 +25,7 @@
 from stairquay.serving.following import follow_endpoints, follow_operators
 from stairquay.serving.front import Front
 from stairquay.serving.links import Links
-from stairquay.serving.notices import Notices
+from stairquay.serving.notices import NoticeSender
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import Surroundings
 from stairquay.serving.routing import RouterPart
@@ -72,7 +72,7 @@
     chance = random.Random()
     links = Links(state)
     router = RouterPart(state, chance)
-    notices = Notices(state, links, router)
+    notices = NoticeSender(state, links, router)
     chooser = Chooser(state, links, router, notices, chance)
     crashes = CrashDetector(state, surroundings.peers)
     dispatcher = Dispatcher(state, surroundings.endpoints, chooser, crashes)
@@ -100,7 +100,7 @@
     surroundings: Surroundings,
     links: Links,
     router: RouterPart,
-    notices: Notices,
+    notices: NoticeSender,
     chance: random.Random,
 ) -> dict[str, Work]:
     """Return by name what runs besides callers' requests, each until cancelled."""
@@ -111,7 +111,7 @@
         "links": links.run,
         "router": router.run,
         "asking": notices.run,
-        "pings": notices.ping_others,
+        "pings": notices.ping_routers,
         "operators": partial(follow_operators, state, feeds),
         "endpoints": partial(follow_endpoints, state, feeds),
         "watching": Watcher(state, surroundings.peers).run,
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -22,7 +22,7 @@
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
-from stairquay.serving.notices import Notices
+from stairquay.serving.notices import NoticeSender
 from stairquay.serving.pacing import come_back_s, count_sent
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.saving import choose_and_save
@@ -50,7 +50,7 @@
     """Chooses the endpoint of each request: by itself, or by asking a router."""
 
     def __init__(
-        self, state: BoxState, links: Links, part: RouterPart, notices: Notices, random: Random
+        self, state: BoxState, links: Links, part: RouterPart, notices: NoticeSender, random: Random
     ) -> None:
         self.state = state
         self.links = links
@@ -104,13 +104,13 @@
         """Take in that an engine has read a prompt: its answer begins."""
         router = next((item for item in self.state.routers if item.id == choice.router), None)
         if router is not None:
-            self.notices.add_read(router, choice.ticket)
+            self.notices.add_prefill_finished(router, choice.ticket)
 
     def finished(self, choice: Choice, outcome: Outcome = Outcome.DONE) -> None:
         """Take in that a request has left the endpoint it was placed on, and how."""
         router = next((item for item in self.state.routers if item.id == choice.router), None)
         if router is not None:
-            self.notices.add(router, Ended(choice.ticket, outcome))
+            self.notices.add_ended(router, Ended(choice.ticket, outcome))
 
     async def _place(
         self, router: Member, asked: PlaceRequest, prompt: PromptShape, progress: Progress
@@ -120,7 +120,7 @@
             reply = await self._ask_knowing(router, asked)
         except asyncio.CancelledError:
             # The caller left meanwhile.
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
             raise
         if reply is None:
             return None
@@ -130,7 +130,7 @@
             return None
         endpoint = self._usable(reply, prompt)
         if endpoint is None:
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
             return None
         return _choice(endpoint, reply, router.id, asked.ticket)
 
@@ -152,7 +152,7 @@
         reply = await self._ask(router, structs.replace(asked, said=told))
         if reply is not None and (not reply.endpoint or self._unaware(reply)):
             # What it placed at first is not sent.
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
             return PlaceReply(come_back_s=reply.come_back_s)
         return reply
 
@@ -179,7 +179,7 @@
         reply = self.links.heard(router, answer, "where a prompt runs")
         if reply is None:
             # It may have placed the prompt all the same.
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
         return reply
 
     def _usable(self, reply: PlaceReply, prompt: PromptShape) -> Endpoint | None:
--- a/tests/test_idle_box.py
+++ b/tests/test_idle_box.py
@@ -16,7 +16,7 @@
 from stairquay.serving.following import apply_endpoints, apply_operators
 from stairquay.serving.links import Links
 from stairquay.serving.messages import EndpointsRequest, OperatorsRequest, ViewsRequest
-from stairquay.serving.notices import Notices
+from stairquay.serving.notices import NoticeSender
 from stairquay.serving.ports import EndpointChanges, OperatorChanges, Surroundings
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.settings import BoxSettings
@@ -100,7 +100,7 @@
         state = BoxState(settings, DecisionLog(settings.id, write=len))
         surroundings = Surroundings(HeldFeeds(), Rows(), None, None, None, "", None, HeldCrashes())
         links, router = Links(state), RouterPart(state, Random(1))
-        notices = Notices(state, links, router)
+        notices = NoticeSender(state, links, router)
         parts = box_parts(state, surroundings, links, router, notices, Random(1))
         tasks = [asyncio.create_task(part()) for part in parts.values()]
         await asyncio.sleep(SETTLED_S)
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -10,7 +10,7 @@
 from stairquay.serving.following import apply_operators
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, FinishedNotice, Nothing, OperatorsRequest
-from stairquay.serving.notices import Notices
+from stairquay.serving.notices import NoticeSender
 from stairquay.serving.ports import OperatorChanges
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
@@ -97,16 +97,16 @@
         state.routers = (first, second)
         channels = Channels(state)
         channels.silent.add("two")
-        notices = Notices(state, channels, RouterPart(state, None))
+        notices = NoticeSender(state, channels, RouterPart(state, None))
         telling = asyncio.create_task(notices.run())
         await asyncio.sleep(0.05)
-        notices.add(first, Ended("t-1"))
-        notices.add(second, Ended("t-2"))
+        notices.add_ended(first, Ended("t-1"))
+        notices.add_ended(second, Ended("t-2"))
         await eventually(lambda: ("one", FinishedNotice((Ended("t-1"),), ())) in channels.told, 2.0)
         await eventually(lambda: state.suspected_until_by_id, 2.0)
         channels.silent.clear()
         await eventually(lambda: ("two", FinishedNotice((Ended("t-2"),), ())) in channels.told, 2.0)
-        assert not notices.ended_by_router and not notices.telling_by_router
+        assert not notices.ended_by_router and not notices.sending_by_router
         telling.cancel()
 
     asyncio.run(scenario())
