--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -1,8 +1,7 @@
-"""Tells routers which prompts have left their engines, and what endpoints say of their use.
+"""Sends routers notices of prompts that have left their engines.
 
-Routers find by their notices that another is gone.
-
-Each router gets one notice at a time, and a silent one holds up no other's.
+Notices also carry what endpoints said in their answers, and serve as pings between routers. Each router gets
+one notice at a time, so that an unresponsive one does not delay the others.
 """
 
 import asyncio
@@ -17,21 +16,20 @@
 from stairquay.serving.telling import told_statements
 
 PING_INTERVAL_S = 0.4
-"""Seconds between two notices that a router sends to the others, so that they share out the engines of one
-that is gone."""
+"""Seconds between two pings of a router to the others, which detect by them that it has failed."""
 
 BATCH_S = 0.05
-"""Seconds for which ended prompts are gathered before their routers are told."""
+"""Seconds for which ended prompts are collected before a notice is sent."""
 
 NOTICE_TIMEOUT_S = 0.5
-"""Seconds for the answer to a notice; one that is lost is made up for by PLACED_S."""
+"""Seconds until an unanswered notice has failed."""
 
 MAX_QUEUED_ENDED = 2_000
-"""Most ended prompts that wait for one router: some seconds of a box's prompts."""
+"""Ended prompts queued for one router. Any more are dropped, and the router expires their placements."""
 
 
 class NoticeSender:
-    """What routers have yet to be told."""
+    """Queues ended and prefilled prompts by router, and sends them in notices."""
 
     def __init__(self, state: BoxState, links: Links, local_router: RouterPart) -> None:
         self.state = state
@@ -43,7 +41,7 @@
         self.queue_changed = ChangeNotifier()
 
     async def run(self) -> None:
-        """Tell routers which prompts have ended, until cancelled."""
+        """Send queued notices until cancelled."""
         while True:
             while (wait_s := self._next_send_in_s()) != 0:
                 await self.queue_changed.wait(wait_s)
@@ -51,16 +49,16 @@
             self._send_all()
 
     async def ping_routers(self) -> None:
-        """While this box is a router, have every other one sent a notice, even where nothing has ended."""
+        """Ping the other routers while this box is a router, until cancelled."""
         while True:
             await self.state.changed.wait_for(lambda: self.state.routes)
             self._queue_pings()
             await asyncio.sleep(PING_INTERVAL_S)
 
     def _next_send_in_s(self) -> float | None:
-        """Return the seconds until a router may be told something, None where nothing waits for that.
+        """Return the seconds until the next notice may be sent, None if none is queued.
 
-        One that is being told, or does not answer, is told later.
+        Routers to which a notice is under way are left out.
         """
         now = monotonic()
         waits_s = [
@@ -71,7 +69,7 @@
         return min(waits_s, default=None)
 
     def add_ended(self, router: Member, ended: Ended) -> None:
-        """Have a router told that a prompt has left its engine; this box's own part hears it at once."""
+        """Queue that a prompt has left its engine. This box's own router is notified at once."""
         if router.id == self.state.settings.id:
             self.local_router.finished(ended)
             return
@@ -81,7 +79,7 @@
         self.queue_changed.notify_all()
 
     def add_prefill_finished(self, router: Member, ticket: str) -> None:
-        """Have a router told that a prompt has been read; one that is not told in time hears it no more."""
+        """Queue that the prefill of a prompt has finished. Dropped if the router is unresponsive."""
         if router.id == self.state.settings.id:
             self.local_router.was_read(ticket)
             return
@@ -90,7 +88,10 @@
         self.queue_changed.notify_all()
 
     def _send_all(self) -> None:
-        """Send each router its notice, one at a time for each; those not heard lately wait."""
+        """Send a notice to each live router that has one queued and none under way.
+
+        Queues of former routers are dropped.
+        """
         live = set(self.state.live_routers())
         said = told_statements(self.state, monotonic())
         for router in list(self.ended_by_router):
@@ -108,7 +109,7 @@
                 self.prefilled_by_router.pop(router, None)
 
     def _queue_pings(self) -> None:
-        """Have a notice sent to every other router, even where nothing has ended."""
+        """Queue a notice, which may be empty, for every other router."""
         for router in self.state.live_routers():
             if router.id != self.state.settings.id:
                 self.ended_by_router.setdefault(router, [])
@@ -120,7 +121,7 @@
         finally:
             del self.sending_by_router[router]
             self.queue_changed.notify_all()
-        if self.links.heard(router, answer, "what has ended") is None:
-            # Told again once it is asked again: hearing the same twice changes nothing.
+        if self.links.heard(router, answer, "ended prompts") is None:
+            # Retried once the router is back; notices are idempotent.
             for item in notice.ended:
                 self.add_ended(router, item)
