--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -30,7 +30,7 @@
 from stairquay.serving.ports import Surroundings
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.settings import BoxSettings
-from stairquay.serving.sharing import SharedFeeds
+from stairquay.serving.shared_feeds import SharedFeeds
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import limit_of, rests_of
 from stairquay.serving.upkeep import Upkeep
--- a/stairquay/serving/sharing.py
+++ b/stairquay/serving/shared_feeds.py
@@ -31,19 +31,19 @@
 
 Reply = TypeVar("Reply")
 
-HELD_SHARE = 0.2
+HOLD_SHARE = 0.2
 """Share of the time in which a change must be known for which a router holds a question."""
 
-ANSWER_SHARE = 0.2
+TIMEOUT_SHARE = 0.2
 """Share of that time after which a router that does not answer a question besides is taken for silent. With
 the age up to which a router's view is used, 0.45 or 0.5 of it, a change is known after 0.9 of it."""
 
 
 @dataclass(frozen=True)
-class Question:
+class PendingViews:
     """A question under way that follows both views, and when it was asked."""
 
-    asked_at: float
+    sent_at: float
     reply: asyncio.Task[ViewsReply | None]
 
 
@@ -54,119 +54,121 @@
         self.state = state
         self.feeds = feeds
         self.links = links
-        self.question: Question | None = None
-        self.operators_passed_on = False
+        self.pending: PendingViews | None = None
+        self.operators_from_router = False
 
     async def read_operators(self) -> Result[OperatorChanges, FeedFault]:
         """Read the configuration and the named versions."""
-        limit_s = self._answer_s()
+        timeout_s = self._timeout_s()
         request = self._operators_request(self.state.operators_revision, 0.0)
-        reply = await self._ask(lambda link: link.operators(request, limit_s), "operators' rows")
-        passed = self._operators(reply, 0.0)
-        return Ok(passed) if passed is not None else await self.feeds.read_operators()
+        reply = await self._request(lambda link: link.operators(request, timeout_s), "operators' rows")
+        changes = self._accept_operators(reply, 0.0)
+        return Ok(changes) if changes is not None else await self.feeds.read_operators()
 
     async def follow_operators(self, after: int, wait_s: float) -> Result[OperatorChanges, FeedFault]:
         """Wait for changes after a revision."""
-        held_s = self._held_s(wait_s)
+        hold_s = self._hold_s(wait_s)
         if self.state.list_passed_on:
-            both, waiting_s = await self._follow(held_s)
-            reply = None if both is None else both.operators
+            views, pending_s = await self._follow_both_views(hold_s)
+            reply = None if views is None else views.operators
         else:
-            request, limit_s, waiting_s = self._operators_request(after, held_s), self._answer_s(), 0.0
-            reply = await self._ask(lambda link: link.operators(request, limit_s), "operators' rows")
-        passed = self._operators(reply, waiting_s)
-        return Ok(passed) if passed is not None else await self.feeds.follow_operators(after, wait_s)
+            request, timeout_s, pending_s = self._operators_request(after, hold_s), self._timeout_s(), 0.0
+            reply = await self._request(lambda link: link.operators(request, timeout_s), "operators' rows")
+        changes = self._accept_operators(reply, pending_s)
+        return Ok(changes) if changes is not None else await self.feeds.follow_operators(after, wait_s)
 
     async def read_endpoints(self) -> Result[EndpointChanges, FeedFault]:
         """Read the list of endpoints."""
-        limit_s = self._answer_s()
+        timeout_s = self._timeout_s()
         request = EndpointsRequest(self.state.list_revision, 0.0)
-        reply = await self._ask(lambda link: link.endpoints(request, limit_s), "the list of endpoints")
-        passed = self._endpoints(reply, 0.0)
-        return Ok(passed) if passed is not None else await self.feeds.read_endpoints()
+        reply = await self._request(lambda link: link.endpoints(request, timeout_s), "the list of endpoints")
+        changes = self._accept_endpoints(reply, 0.0)
+        return Ok(changes) if changes is not None else await self.feeds.read_endpoints()
 
     async def follow_endpoints(self, after: int, wait_s: float) -> Result[EndpointChanges, FeedFault]:
         """Wait for changes of the list after a revision."""
-        held_s = self._held_s(wait_s)
-        if self.operators_passed_on:
-            both, waiting_s = await self._follow(held_s)
-            reply = None if both is None else both.endpoints
+        hold_s = self._hold_s(wait_s)
+        if self.operators_from_router:
+            views, pending_s = await self._follow_both_views(hold_s)
+            reply = None if views is None else views.endpoints
         else:
-            request, limit_s, waiting_s = EndpointsRequest(after, held_s), self._answer_s(), 0.0
-            reply = await self._ask(lambda link: link.endpoints(request, limit_s), "the list of endpoints")
-        passed = self._endpoints(reply, waiting_s)
-        return Ok(passed) if passed is not None else await self.feeds.follow_endpoints(after, wait_s)
+            request, timeout_s, pending_s = EndpointsRequest(after, hold_s), self._timeout_s(), 0.0
+            reply = await self._request(
+                lambda link: link.endpoints(request, timeout_s), "the list of endpoints"
+            )
+        changes = self._accept_endpoints(reply, pending_s)
+        return Ok(changes) if changes is not None else await self.feeds.follow_endpoints(after, wait_s)
 
-    def _operators(self, reply: OperatorsReply | None, waiting_s: float) -> OperatorChanges | None:
+    def _accept_operators(self, reply: OperatorsReply | None, pending_s: float) -> OperatorChanges | None:
         """Return what a router said, None where its view is too old. waiting_s: for how long its question had
         been under way already when we began to wait for it."""
-        self.operators_passed_on = reply is not None and not self.state.view_too_old(reply.age_s)
-        if reply is None or not self.operators_passed_on:
-            self._take_crashes(-1, None)
+        self.operators_from_router = reply is not None and not self.state.view_too_old(reply.age_s)
+        if reply is None or not self.operators_from_router:
+            self._apply_crash_report(-1, None)
             return None
-        self._take_crashes(reply.crashes_revision, reply.crashes)
+        self._apply_crash_report(reply.crashes_revision, reply.crashes)
         take_told(self.state, reply.said, monotonic())
         # The answer was made `held_s` after the question came in, which was after it was asked.
-        return replace(reply.changes, behind_s=reply.age_s - reply.held_s + waiting_s)
+        return replace(reply.changes, behind_s=reply.age_s - reply.held_s + pending_s)
 
-    def _operators_request(self, after: int, held_s: float) -> OperatorsRequest:
-        said = told_statements(self.state, monotonic())
-        return OperatorsRequest(after, held_s, self.state.quarantine.router_revision, said)
+    def _operators_request(self, after: int, hold_s: float) -> OperatorsRequest:
+        feedback = told_statements(self.state, monotonic())
+        return OperatorsRequest(after, hold_s, self.state.quarantine.router_revision, feedback)
 
-    def _take_crashes(self, revision: int, told: CrashesTold | None) -> None:
+    def _apply_crash_report(self, revision: int, report: CrashesTold | None) -> None:
         """Take in what a router knows of crashes; a revision of -1 stands for nothing."""
         quarantine, now = self.state.quarantine, monotonic()
-        told_before = quarantine.router_reporting
+        was_reporting = quarantine.router_reporting
         if revision < 0:
             quarantine.end_router_reports()
-        elif told is not None:
+        elif report is not None:
             crashes = tuple(
                 Crash(item.digest, item.life, now - item.ago_s, item.ran_s, item.events)
-                for item in told.crashes
+                for item in report.crashes
             )
-            cleared = {digest: now - ago_s for digest, ago_s in told.cleared}
+            cleared = {digest: now - ago_s for digest, ago_s in report.cleared}
             quarantine.apply_router_report(CrashReport(crashes, cleared), revision)
-        if told_before != quarantine.router_reporting:
+        if was_reporting != quarantine.router_reporting:
             self.state.changed.notify_all()
 
-    def _endpoints(self, reply: EndpointsReply | None, waiting_s: float) -> EndpointChanges | None:
+    def _accept_endpoints(self, reply: EndpointsReply | None, pending_s: float) -> EndpointChanges | None:
         self.state.list_passed_on = reply is not None and not self.state.list_too_old(reply.age_s)
         if reply is None or not self.state.list_passed_on:
             return None
-        return replace(reply.changes, behind_s=reply.age_s + waiting_s)
+        return replace(reply.changes, behind_s=reply.age_s + pending_s)
 
-    async def _follow(self, held_s: float) -> tuple[ViewsReply | None, float]:
+    async def _follow_both_views(self, hold_s: float) -> tuple[ViewsReply | None, float]:
         """Wait for a router's answer about both views, and tell for how long its question was already asked.
 
         The parts that follow the one and the other wait for the same answer. Only while both use what the
         router says: news for one that asks elsewhere would have the other's questions answered at once.
         """
         now = monotonic()
-        if self.question is None or self.question.reply.done():
-            self.question = Question(now, asyncio.create_task(self._ask_views(held_s)))
-        question = self.question
-        return await asyncio.shield(question.reply), now - question.asked_at
+        if self.pending is None or self.pending.reply.done():
+            self.pending = PendingViews(now, asyncio.create_task(self._request_views(hold_s)))
+        pending = self.pending
+        return await asyncio.shield(pending.reply), now - pending.sent_at
 
-    async def _ask_views(self, held_s: float) -> ViewsReply | None:
+    async def _request_views(self, hold_s: float) -> ViewsReply | None:
         state = self.state
         request = ViewsRequest(
-            self._operators_request(state.operators_revision, held_s),
-            EndpointsRequest(state.list_revision, held_s),
+            self._operators_request(state.operators_revision, hold_s),
+            EndpointsRequest(state.list_revision, hold_s),
         )
-        return await self._ask(lambda link: link.views(request, self._answer_s()), "both views")
+        return await self._request(lambda link: link.views(request, self._timeout_s()), "both views")
 
-    def _held_s(self, wait_s: float) -> float:
-        return min(wait_s, self._shorter_s() * HELD_SHARE)
+    def _hold_s(self, wait_s: float) -> float:
+        return min(wait_s, self._shortest_deadline_s() * HOLD_SHARE)
 
-    def _answer_s(self) -> float:
-        return self._shorter_s() * ANSWER_SHARE
+    def _timeout_s(self) -> float:
+        return self._shortest_deadline_s() * TIMEOUT_SHARE
 
-    def _shorter_s(self) -> float:
+    def _shortest_deadline_s(self) -> float:
         """Return the shorter one of the times in which changes must be known."""
         settings = self.state.settings
         return min(settings.apply_s, settings.drain_s, settings.evacuate_s)
 
-    async def _ask(self, ask: Callable[[Link], Awaitable[Reply | None]], question: str) -> Reply | None:
+    async def _request(self, ask: Callable[[Link], Awaitable[Reply | None]], question: str) -> Reply | None:
         """Ask the nearest router that follows the table service; None where this box does or none answers."""
         if self.state.follows:
             return None
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -17,7 +17,7 @@
     ViewsRequest,
 )
 from stairquay.serving.ports import EndpointChanges, OperatorChanges
-from stairquay.serving.sharing import SharedFeeds
+from stairquay.serving.shared_feeds import SharedFeeds
 from stairquay.serving.state import BoxState
 from tests.site import eventually
 from tests.states import box_state
@@ -72,7 +72,7 @@
     state.operators_revision, state.list_revision = 5, 6
     state.list_passed_on = True
     feeds = SharedFeeds(state, TableService(), router)
-    feeds.operators_passed_on = True
+    feeds.operators_from_router = True
     return feeds
 
 
