--- a/stairquay/serving/shared_feeds.py
+++ b/stairquay/serving/shared_feeds.py
@@ -1,7 +1,7 @@
 """Follows the table service through routers, so that its load does not grow with the number of boxes.
 
-A few routers follow it for all. The other boxes ask one of these; how old its view is goes with it. Where
-none answers, or its own view is old, a box asks the table service itself.
+A few routers follow the table service; the other boxes request their views, which carry their age. A box
+whose router does not reply, or replies with an expired view, calls the table service itself.
 """
 
 import asyncio
@@ -32,23 +32,26 @@
 Reply = TypeVar("Reply")
 
 HOLD_SHARE = 0.2
-"""Share of the time in which a change must be known for which a router holds a question."""
+"""Share of the shortest propagation deadline for which a router holds a request (long poll)."""
 
 TIMEOUT_SHARE = 0.2
-"""Share of that time after which a router that does not answer a question besides is taken for silent. With
-the age up to which a router's view is used, 0.45 or 0.5 of it, a change is known after 0.9 of it."""
+"""Share of the same deadline, beyond the hold, after which a request has timed out. Both shares and the
+maximum age of a router's view together stay below the deadline."""
 
 
 @dataclass(frozen=True)
 class PendingViews:
-    """A question under way that follows both views, and when it was asked."""
+    """A pending request for both views, and when it was sent in monotonic seconds."""
 
     sent_at: float
     reply: asyncio.Task[ViewsReply | None]
 
 
 class SharedFeeds:
-    """The table service's feeds, asked through a router where some boxes route for all."""
+    """Feeds of the table service, read through a router where there is one.
+
+    operators_from_router: the current view of operators' rows came from a router.
+    """
 
     def __init__(self, state: BoxState, feeds: Feeds, links: Links) -> None:
         self.state = state
@@ -66,7 +69,7 @@
         return Ok(changes) if changes is not None else await self.feeds.read_operators()
 
     async def follow_operators(self, after: int, wait_s: float) -> Result[OperatorChanges, FeedFault]:
-        """Wait for changes after a revision."""
+        """Wait for changes of operators' rows after a revision."""
         hold_s = self._hold_s(wait_s)
         if self.state.list_passed_on:
             views, pending_s = await self._follow_both_views(hold_s)
@@ -100,15 +103,17 @@
         return Ok(changes) if changes is not None else await self.feeds.follow_endpoints(after, wait_s)
 
     def _accept_operators(self, reply: OperatorsReply | None, pending_s: float) -> OperatorChanges | None:
-        """Return what a router said, None where its view is too old. waiting_s: for how long its question had
-        been under way already when we began to wait for it."""
+        """Return the changes in a router's reply, None if there is none or the view has expired.
+
+        pending_s: how long the request had been pending when the caller began to wait for it.
+        """
         self.operators_from_router = reply is not None and not self.state.view_too_old(reply.age_s)
         if reply is None or not self.operators_from_router:
             self._apply_crash_report(-1, None)
             return None
         self._apply_crash_report(reply.crashes_revision, reply.crashes)
         take_told(self.state, reply.said, monotonic())
-        # The answer was made `held_s` after the question came in, which was after it was asked.
+        # `age_s` is the age when the reply was made; `behind_s` is the age when the caller began to wait.
         return replace(reply.changes, behind_s=reply.age_s - reply.held_s + pending_s)
 
     def _operators_request(self, after: int, hold_s: float) -> OperatorsRequest:
@@ -116,7 +121,7 @@
         return OperatorsRequest(after, hold_s, self.state.quarantine.router_revision, feedback)
 
     def _apply_crash_report(self, revision: int, report: CrashesTold | None) -> None:
-        """Take in what a router knows of crashes; a revision of -1 stands for nothing."""
+        """Apply a router's crash report. revision: -1 if it has none; report: None if it is unchanged."""
         quarantine, now = self.state.quarantine, monotonic()
         was_reporting = quarantine.router_reporting
         if revision < 0:
@@ -138,10 +143,10 @@
         return replace(reply.changes, behind_s=reply.age_s + pending_s)
 
     async def _follow_both_views(self, hold_s: float) -> tuple[ViewsReply | None, float]:
-        """Wait for a router's answer about both views, and tell for how long its question was already asked.
+        """Wait for a router's reply with both views; return it and how long its request was pending before.
 
-        The parts that follow the one and the other wait for the same answer. Only while both use what the
-        router says: news for one that asks elsewhere would have the other's questions answered at once.
+        The followers of the two views share one request, but only while both views come from the router: a
+        change in a view that is not used would end every shared request at once.
         """
         now = monotonic()
         if self.pending is None or self.pending.reply.done():
@@ -164,12 +169,15 @@
         return self._shortest_deadline_s() * TIMEOUT_SHARE
 
     def _shortest_deadline_s(self) -> float:
-        """Return the shorter one of the times in which changes must be known."""
+        """Return the shortest time in which a change must have propagated."""
         settings = self.state.settings
         return min(settings.apply_s, settings.drain_s, settings.evacuate_s)
 
     async def _request(self, ask: Callable[[Link], Awaitable[Reply | None]], question: str) -> Reply | None:
-        """Ask the nearest router that follows the table service; None where this box does or none answers."""
+        """Call the nearest router that follows the table service.
+
+        Return None if this box follows it itself, or no router replies.
+        """
         if self.state.follows:
             return None
         router = next(iter(routers_for(self.state.member, self.state.following_routers())), None)
