--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -22,6 +22,7 @@
 from stairquay.serving.crash_rows import CrashRowSync
 from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.dispatch import Dispatcher
+from stairquay.serving.endpoint_feedback import backoffs_by_id, limit_of
 from stairquay.serving.following import follow_endpoints, follow_operators
 from stairquay.serving.front import Front
 from stairquay.serving.links import Links
@@ -32,7 +33,6 @@
 from stairquay.serving.settings import BoxSettings
 from stairquay.serving.shared_feeds import SharedFeeds
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import limit_of, rests_of
 from stairquay.serving.upkeep import Upkeep
 from stairquay.serving.watching import Watcher
 
@@ -237,7 +237,7 @@
             metrics.limits.labels(endpoint.id).set(per_s)
         if endpoint.leaving:
             metrics.leaving.labels(endpoint.id).set(1)
-    for name, rest_s in rests_of(state, now).items():
+    for name, rest_s in backoffs_by_id(state, now).items():
         metrics.rests.labels(name).set(rest_s)
 
 
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -18,17 +18,17 @@
 from stairquay.core.routers import Member, routers_for
 from stairquay.serving.choosing import Choice, Wanted
 from stairquay.serving.decisions import Decision
+from stairquay.serving.endpoint_feedback import backoffs_by_id, limit_of
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
 from stairquay.serving.notices import NoticeSender
 from stairquay.serving.pacing import come_back_s, count_sent
+from stairquay.serving.peer_feedback import apply_peer_feedback, backoffs_for_router, feedback_for_peers
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import limit_of, rests_of
-from stairquay.serving.telling import take_told, told_rests, told_statements
 
 ASK_S = 0.08
 """Seconds for a router's answer: a way of 2 ms and 2 ms of a slow box's time, with room for a burst; a
@@ -148,7 +148,7 @@
         reply = await self._ask(router, asked)
         if reply is None or not self._unaware(reply):
             return reply
-        told = told_statements(self.state, monotonic(), frozenset((reply.endpoint,)))
+        told = feedback_for_peers(self.state, monotonic(), frozenset((reply.endpoint,)))
         reply = await self._ask(router, structs.replace(asked, said=told))
         if reply is not None and (not reply.endpoint or self._unaware(reply)):
             # What it placed at first is not sent.
@@ -161,7 +161,7 @@
         leaves, or that it wants rest."""
         state, now = self.state, monotonic()
         if reply.said is not None:
-            take_told(state, (reply.said,), now)
+            apply_peer_feedback(state, (reply.said,), now)
         if reply.again_s or not reply.endpoint:
             return False
         endpoint = state.fleet.by_id.get(reply.endpoint)
@@ -170,7 +170,7 @@
         by_router = UNLIMITED if reply.said is None else reply.said.per_s
         if limit_of(state.of(endpoint)) < by_router or state.fleet.leaves(endpoint):
             return True
-        return endpoint.id in rests_of(state, now)
+        return endpoint.id in backoffs_by_id(state, now)
 
     async def _ask(self, router: Member, asked: PlaceRequest) -> PlaceReply | None:
         if router.id == self.state.settings.id:
@@ -193,7 +193,7 @@
         return None if too_old else usable
 
     def _choose_here(self, job: Job, progress: Progress) -> Choice | None:
-        tried, rests_s = frozenset(progress.tried), rests_of(self.state, monotonic())
+        tried, rests_s = frozenset(progress.tried), backoffs_by_id(self.state, monotonic())
         wanted = Wanted(job.service, job.call.prompt, job.workspace, tried, rests_s=rests_s)
         choice = choose_and_save(self.state, job.catalog, wanted, self.random)
         if choice is not None:
@@ -207,14 +207,14 @@
         if progress.come_back_s is not None:
             return progress.come_back_s
         now = monotonic()
-        rests_s = rests_of(self.state, now)
+        rests_s = backoffs_by_id(self.state, now)
         return come_back_s(self.state, job.service.id, progress.tried, rests_s, now, self.random)
 
     def all_rest_s(self, job: Job) -> float | None:
         """Return the seconds after which the caller of a job should come back that is refused while all
         endpoints want rest from this box, those included that turned it away; None where one does not."""
         state, now = self.state, monotonic()
-        rests_s = rests_of(state, now)
+        rests_s = backoffs_by_id(state, now)
         usable = [item for item in state.fleet.usable(job.service.id, now) if takes_work(state, item)]
         if not usable or any(item.id not in rests_s for item in usable):
             return None
@@ -241,7 +241,7 @@
             tried=tuple(progress.tried),
             most_backlog_s=most_backlog_s,
             may_wait=may_wait,
-            said=told_rests(self.state, monotonic()),
+            said=backoffs_for_router(self.state, monotonic()),
         )
 
 
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -15,6 +15,7 @@
 from stairquay.serving.choosing import Choice
 from stairquay.serving.crash_detector import CrashDetector
 from stairquay.serving.endpoint import FULL_PAUSE_S
+from stairquay.serving.endpoint_feedback import apply_feedback, is_backing_off, record_probe
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.messages import Outcome
@@ -31,7 +32,6 @@
 from stairquay.serving.refusals import RETRY_AFTER_S, all_held_back, overloaded, truthful
 from stairquay.serving.relay import cut, read_whole, relay_stream, whole_response
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import is_resting, note_tried, take_statement
 
 MAX_REFUSED = 4
 """Times that one request may be turned away by endpoints before it is refused."""
@@ -163,7 +163,7 @@
         if choice.placement is not None and not counted:
             held.unread_tokens_by_request[job.call.id] = choice.placement.read
             held.on_sent(choice.placement.read + choice.placement.fetched, begun.sent_at)
-        note_tried(held, begun.sent_at)
+        record_probe(held, begun.sent_at)
         record_sent(self.state, job, choice, progress)
         try:
             sent = await self._send(job, begun, progress)
@@ -181,7 +181,7 @@
         """Take in what an answer's head says of its endpoint, before any of it is passed on."""
         said = sent.err_value.said if isinstance(sent, Err) else sent.ok_value.said
         if said is not None:
-            take_statement(self.state, begun.choice.endpoint, begun.held, said, begun.sent_at, monotonic())
+            apply_feedback(self.state, begun.choice.endpoint, begun.held, said, begun.sent_at, monotonic())
 
     async def _send(self, job: Job, begun: Begun, progress: Progress) -> Result[Reply, SendFailure]:
         left_s = job.deadline - monotonic()
@@ -191,7 +191,7 @@
         def guard() -> bool:
             if not self._fresh(job) or job.deadline <= monotonic() or self._quarantined_s(job) > 0:
                 return False
-            if not takes_work(self.state, begun.choice.endpoint) or is_resting(begun.held, monotonic()):
+            if not takes_work(self.state, begun.choice.endpoint) or is_backing_off(begun.held, monotonic()):
                 return False
             return not self._too_old(job, begun.choice)
 
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/endpoint_feedback.py
@@ -17,29 +17,34 @@
 from stairquay.serving.state import BoxState
 
 
-def limit_of(held: EndpointState) -> float:
+def limit_of(endpoint_state: EndpointState) -> float:
     """Return the limit that an endpoint names, UNLIMITED where it names none."""
-    return UNLIMITED if held.limit is None else held.limit.per_s
+    return UNLIMITED if endpoint_state.limit is None else endpoint_state.limit.per_s
 
 
-def take_statement(
-    state: BoxState, endpoint: Endpoint, held: EndpointState, said: Statement, sent_at: float, now: float
+def apply_feedback(
+    state: BoxState,
+    endpoint: Endpoint,
+    endpoint_state: EndpointState,
+    feedback: Statement,
+    sent_at: float,
+    now: float,
 ) -> None:
     """Take in what the head of an answer says, that came now to a request sent at `sent_at`.
 
     held: the life of the endpoint that answered.
     """
-    for topic, text in said.unreadable:
-        _take_unreadable(state, endpoint, held, topic, text)
-    if said.limit_per_s is not None:
-        take_limit(state, endpoint, held, LimitNews(said.limit_per_s, sent_at, now))
-    if said.leaving:
-        take_leaving(state, endpoint.id, held.born, "answer")
-    if said.rest_s is not None:
-        _take_rest(state, endpoint, held, said.rest_s, sent_at, now)
+    for topic, text in feedback.unreadable:
+        _record_unreadable(state, endpoint, endpoint_state, topic, text)
+    if feedback.limit_per_s is not None:
+        apply_limit(state, endpoint, endpoint_state, LimitNews(feedback.limit_per_s, sent_at, now))
+    if feedback.leaving:
+        apply_leaving(state, endpoint.id, endpoint_state.born, "answer")
+    if feedback.rest_s is not None:
+        _apply_backoff(state, endpoint, endpoint_state, feedback.rest_s, sent_at, now)
 
 
-def take_leaving(state: BoxState, endpoint_id: str, born: int, source: str) -> None:
+def apply_leaving(state: BoxState, endpoint_id: str, born: int, source: str) -> None:
     """Take in that a life of an endpoint leaves: nothing new goes there. source: who said so, for the log."""
     if not state.fleet.say_leaving(endpoint_id, born, monotonic()):
         return
@@ -55,78 +60,85 @@
     state.changed.notify_all()
 
 
-def _take_rest(
-    state: BoxState, endpoint: Endpoint, held: EndpointState, rest_s: float, sent_at: float, now: float
+def _apply_backoff(
+    state: BoxState,
+    endpoint: Endpoint,
+    endpoint_state: EndpointState,
+    backoff_s: float,
+    sent_at: float,
+    now: float,
 ) -> None:
     """Take in for how long an endpoint wants nothing. Of rests that overlap, the one that ends last holds; it
     is over with an answer that asks for none, to a request sent after its end."""
-    rest = held.rest
-    if rest_s == 0:
-        if rest is not None and sent_at >= rest.until:
-            held.rest = None
+    backoff = endpoint_state.rest
+    if backoff_s == 0:
+        if backoff is not None and sent_at >= backoff.until:
+            endpoint_state.rest = None
             state.resting.discard(endpoint.id)
             state.log.line(Decision.REST, endpoint=endpoint.id, service=endpoint.service, outcome="ended")
         return
-    if rest is not None and rest.until >= now + rest_s:
+    if backoff is not None and backoff.until >= now + backoff_s:
         return
-    later_s = _own_turn_s(state, endpoint, held, rest_s)
-    held.rest = Rest(now + rest_s + later_s)
+    delay_s = _stagger_s(state, endpoint, endpoint_state, backoff_s)
+    endpoint_state.rest = Rest(now + backoff_s + delay_s)
     state.resting.add(endpoint.id)
     state.log.line(
         Decision.REST,
         endpoint=endpoint.id,
         service=endpoint.service,
         outcome="asked",
-        for_s=rest_s,
-        later_s=later_s,
+        for_s=backoff_s,
+        later_s=delay_s,
     )
 
 
-def _own_turn_s(state: BoxState, endpoint: Endpoint, held: EndpointState, rest_s: float) -> float:
+def _stagger_s(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, backoff_s: float) -> float:
     """Return the seconds after a rest at which this box comes back, in a turn of all boxes.
 
     An endpoint in need asks many boxes at once, whose rests end together. They come one after the other, as
     its places and the time of an answer allow, and within the length of the rest once more.
     """
     boxes = len(state.boxes)
-    before = sum(other < state.settings.id for other in state.boxes)
-    spread_s = min(rest_s, boxes * held.work_s / endpoint.slots)
-    return spread_s * before / max(1, boxes)
+    rank = sum(other < state.settings.id for other in state.boxes)
+    spread_s = min(backoff_s, boxes * endpoint_state.work_s / endpoint.slots)
+    return spread_s * rank / max(1, boxes)
 
 
-def take_limit(state: BoxState, endpoint: Endpoint, held: EndpointState, told: LimitNews) -> None:
+def apply_limit(
+    state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, report: LimitNews
+) -> None:
     """Take in what an answer said of its endpoint's limit, here or at another box."""
-    if held.limit is None and told.per_s == UNLIMITED:
+    if endpoint_state.limit is None and report.per_s == UNLIMITED:
         return
-    before = limit_of(held)
+    previous_per_s = limit_of(endpoint_state)
     state.limited.add(endpoint.id)
-    held.limit = newer(held.limit, told)
-    now_per_s = limit_of(held)
-    if now_per_s == before:
+    endpoint_state.limit = newer(endpoint_state.limit, report)
+    new_per_s = limit_of(endpoint_state)
+    if new_per_s == previous_per_s:
         return
-    if now_per_s == UNLIMITED:
-        held.limit_ended_at = told.heard_at
-    outcome = "ended" if now_per_s == UNLIMITED else "named" if before == UNLIMITED else "changed"
+    if new_per_s == UNLIMITED:
+        endpoint_state.limit_ended_at = report.heard_at
+    outcome = "ended" if new_per_s == UNLIMITED else "named" if previous_per_s == UNLIMITED else "changed"
     state.log.line(
         Decision.LIMIT,
         endpoint=endpoint.id,
         service=endpoint.service,
         outcome=outcome,
-        per_s=now_per_s,
-        before_per_s=before,
+        per_s=new_per_s,
+        before_per_s=previous_per_s,
     )
 
 
-def _take_unreadable(
-    state: BoxState, endpoint: Endpoint, held: EndpointState, topic: Topic, text: str
+def _record_unreadable(
+    state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, topic: Topic, text: str
 ) -> None:
     """Count an answer of which something cannot be read; what is known of that stands.
 
     Logged once for each life of an endpoint and each text in a row.
     """
     state.metrics.unreadable_statements.labels(topic.value).inc()
-    if held.unreadable_by_topic.get(topic) != text:
-        held.unreadable_by_topic[topic] = text
+    if endpoint_state.unreadable_by_topic.get(topic) != text:
+        endpoint_state.unreadable_by_topic[topic] = text
         state.log.line(
             Decision(topic.value),
             endpoint=endpoint.id,
@@ -136,28 +148,30 @@
         )
 
 
-def rests_of(state: BoxState, now: float) -> dict[str, float]:
+def backoffs_by_id(state: BoxState, now: float) -> dict[str, float]:
     """Return by id the seconds for which endpoints want nothing from this box.
 
     Where a rest is over and its first request is under way, that is about as long as its answer takes.
     """
-    rests_s: dict[str, float] = {}
-    for name in state.resting:
-        held = state.endpoints_by_id.get(name)
-        if held is None or held.rest is None:
+    backoffs_s: dict[str, float] = {}
+    for endpoint_id in state.resting:
+        endpoint_state = state.endpoints_by_id.get(endpoint_id)
+        if endpoint_state is None or endpoint_state.rest is None:
             continue
-        wait_s = held.rest.wait_s(now)
+        wait_s = endpoint_state.rest.wait_s(now)
         if wait_s > 0:
-            rests_s[name] = wait_s if now < held.rest.until else min(wait_s, held.work_s)
-    return rests_s
+            backoffs_s[endpoint_id] = (
+                wait_s if now < endpoint_state.rest.until else min(wait_s, endpoint_state.work_s)
+            )
+    return backoffs_s
 
 
-def is_resting(held: EndpointState, now: float) -> bool:
+def is_backing_off(endpoint_state: EndpointState, now: float) -> bool:
     """Tell whether an endpoint has asked this box for rest that is not over."""
-    return held.rest is not None and now < held.rest.until
+    return endpoint_state.rest is not None and now < endpoint_state.rest.until
 
 
-def note_tried(held: EndpointState, now: float) -> None:
+def record_probe(endpoint_state: EndpointState, now: float) -> None:
     """Take in that a request goes to an endpoint, which shows whether its rest is over."""
-    if held.rest is not None:
-        held.rest = replace(held.rest, tried_at=now)
+    if endpoint_state.rest is not None:
+        endpoint_state.rest = replace(endpoint_state.rest, tried_at=now)
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -11,9 +11,9 @@
 from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, FinishedNotice
+from stairquay.serving.peer_feedback import feedback_for_peers
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
-from stairquay.serving.telling import told_statements
 
 PING_INTERVAL_S = 0.4
 """Seconds between two pings of a router to the others, which detect by them that it has failed."""
@@ -93,7 +93,7 @@
         Queues of former routers are dropped.
         """
         live = set(self.state.live_routers())
-        said = told_statements(self.state, monotonic())
+        said = feedback_for_peers(self.state, monotonic())
         for router in list(self.ended_by_router):
             if router not in self.state.routers:
                 del self.ended_by_router[router]
--- /dev/null
+++ b/stairquay/serving/peer_feedback.py
@@ -0,0 +1,115 @@
+"""What boxes tell each other of what endpoints say: an answer comes to one box, and others decide too."""
+
+from collections.abc import Iterable
+
+from msgspec import structs
+
+from stairquay.core.fleet import Endpoint
+from stairquay.core.limits import UNLIMITED, LimitNews
+from stairquay.serving.endpoint import EndpointState
+from stairquay.serving.endpoint_feedback import apply_leaving, apply_limit, backoffs_by_id
+from stairquay.serving.messages import StatementTold
+from stairquay.serving.state import BoxState
+
+SHARE_PERIOD_S = 10.0
+"""Seconds for which boxes tell each other that an endpoint leaves, or that a limit has ended: each asks twice
+a second or more."""
+
+MAX_MESSAGE_DELAY_S = 0.5
+"""Seconds by which what another box heard may be older than it says: for the way of a message."""
+
+
+def feedback_for_peers(
+    state: BoxState, now: float, include_ids: frozenset[str] = frozenset()
+) -> tuple[StatementTold, ...]:
+    """Return what other boxes should know of what endpoints said.
+
+    also: endpoints of which to tell in any case, since the other box believes something else.
+    """
+    backoffs_s = backoffs_by_id(state, now)
+    ids = {*_limited_ids(state, now, include_ids), *_leaving_ids(state, now, include_ids), *backoffs_s}
+    return tuple(
+        _endpoint_feedback(state, endpoint_id, backoffs_s.get(endpoint_id, 0.0), now)
+        for endpoint_id in sorted(ids)
+    )
+
+
+def backoffs_for_router(state: BoxState, now: float) -> tuple[StatementTold, ...]:
+    """Return which endpoints want rest from this box."""
+    return tuple(
+        StatementTold(endpoint_id, 0, rest_s=rest_s)
+        for endpoint_id, rest_s in backoffs_by_id(state, now).items()
+    )
+
+
+def limit_feedback(endpoint: Endpoint, endpoint_state: EndpointState, now: float) -> StatementTold | None:
+    """Return what this box heard of an endpoint's limit, for another box; None where it heard of none."""
+    limit = endpoint_state.limit
+    if limit is None:
+        return None
+    return StatementTold(
+        endpoint.id, endpoint_state.born, limit.per_s, now - limit.sent_at, now - limit.heard_at
+    )
+
+
+def apply_peer_feedback(state: BoxState, feedback: Iterable[StatementTold], now: float) -> None:
+    """Take in what another box heard. What another life of an endpoint said binds nobody; a rest binds only
+    the box that was asked for it."""
+    for item in feedback:
+        endpoint = state.fleet.by_id.get(item.endpoint)
+        endpoint_state = None if endpoint is None else state.of(endpoint)
+        if item.leaving:
+            born = item.born or (0 if endpoint_state is None else endpoint_state.born)
+            apply_leaving(state, item.endpoint, born, "box")
+        if (
+            endpoint is None
+            or endpoint_state is None
+            or (item.born and endpoint_state.born and item.born != endpoint_state.born)
+        ):
+            continue
+        report = LimitNews(item.per_s, now - item.sent_ago_s - MAX_MESSAGE_DELAY_S, now - item.heard_ago_s)
+        apply_limit(state, endpoint, endpoint_state, report)
+
+
+def _limited_ids(state: BoxState, now: float, include_ids: frozenset[str]) -> set[str]:
+    """Return the endpoints that name a limit, or lately ceased to."""
+    endpoint_ids = set()
+    for endpoint_id in state.limited & state.fleet.by_id.keys():
+        endpoint_state = state.endpoints_by_id.get(endpoint_id)
+        if endpoint_state is None or endpoint_state.limit is None:
+            continue
+        if (
+            endpoint_state.limit.per_s < UNLIMITED
+            or now - endpoint_state.limit_ended_at < SHARE_PERIOD_S
+            or endpoint_id in include_ids
+        ):
+            endpoint_ids.add(endpoint_id)
+    return endpoint_ids
+
+
+def _leaving_ids(state: BoxState, now: float, include_ids: frozenset[str]) -> set[str]:
+    """Return the endpoints that lately were heard to be leaving."""
+    by_id = state.fleet.leaving_by_id
+    return {
+        endpoint_id
+        for endpoint_id, incarnation in by_id.items()
+        if now - incarnation.at < SHARE_PERIOD_S or endpoint_id in include_ids
+    }
+
+
+def _endpoint_feedback(state: BoxState, endpoint_id: str, rest_s: float, now: float) -> StatementTold:
+    endpoint, departing = state.fleet.by_id.get(endpoint_id), state.fleet.leaving_by_id.get(endpoint_id)
+    if endpoint is None:
+        return StatementTold(
+            endpoint_id,
+            0 if departing is None else departing.born,
+            leaving=departing is not None,
+            rest_s=rest_s,
+        )
+    endpoint_state = state.of(endpoint)
+    feedback = limit_feedback(endpoint, endpoint_state, now) or StatementTold(
+        endpoint_id, endpoint_state.born
+    )
+    # A newer life may have been heard of before its entry came: it does not leave as the last one does.
+    leaving = departing is not None and endpoint_state.born <= departing.born
+    return structs.replace(feedback, leaving=leaving, rest_s=rest_s)
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -41,10 +41,10 @@
     ViewsRequest,
 )
 from stairquay.serving.pacing import come_back_s, count_sent, take_back
+from stairquay.serving.peer_feedback import apply_peer_feedback, feedback_for_peers, limit_feedback
 from stairquay.serving.ports import EndpointChanges, OperatorChanges
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
-from stairquay.serving.telling import statement_told, take_told, told_statements
 
 REVIEW_S = 0.25
 """Seconds between two looks at whether this box is a router, and of which engines."""
@@ -106,13 +106,13 @@
     def place(self, asked: PlaceRequest) -> PlaceReply:
         """Choose an engine for a prompt, and count it there until the box that asked says that it ended."""
         now = monotonic()
-        take_told(self.state, asked.said, now)
+        apply_peer_feedback(self.state, asked.said, now)
         rests_s = {item.endpoint: item.rest_s for item in asked.said if item.rest_s > 0}
         choice = self._choose(asked, rests_s)
         if choice is None or choice.placement is None:
             soonest_s = come_back_s(self.state, asked.service, asked.tried, rests_s, now, self.random)
             return PlaceReply(come_back_s=soonest_s or 0.0)
-        said = statement_told(choice.endpoint, self.state.of(choice.endpoint), now)
+        said = limit_feedback(choice.endpoint, self.state.of(choice.endpoint), now)
         given_up = asked.most_backlog_s is not None and choice.backlog_s > asked.most_backlog_s
         if not given_up and asked.may_wait and self._read_soon(choice, asked):
             return PlaceReply(endpoint=choice.endpoint.id, version=choice.version, again_s=READ_AGAIN_S)
@@ -272,7 +272,7 @@
         return self.place(asked)
 
     async def _on_finished(self, notice: FinishedNotice) -> Nothing:
-        take_told(self.state, notice.said, monotonic())
+        apply_peer_feedback(self.state, notice.said, monotonic())
         for ticket in notice.read:
             self.was_read(ticket)
         for ended in notice.ended:
@@ -281,7 +281,7 @@
 
     async def _on_operators(self, asked: OperatorsRequest) -> OperatorsReply:
         began_at = monotonic()
-        take_told(self.state, asked.said, began_at)
+        apply_peer_feedback(self.state, asked.said, began_at)
         await self._hold(lambda: self._operators_last_s(asked), asked.wait_s)
         return self._operators_reply(asked, began_at)
 
@@ -291,7 +291,7 @@
 
     async def _on_views(self, asked: ViewsRequest) -> ViewsReply:
         began_at = monotonic()
-        take_told(self.state, asked.operators.said, began_at)
+        apply_peer_feedback(self.state, asked.operators.said, began_at)
 
         def last_s() -> float:
             return min(self._operators_last_s(asked.operators), self._endpoints_last_s(asked.endpoints))
@@ -320,7 +320,7 @@
             changes = OperatorChanges(revision, False)
         changed, crashes = self._crashes(asked.crashes_known)
         now = monotonic()
-        said = told_statements(state, now, frozenset(item.endpoint for item in asked.said))
+        said = feedback_for_peers(state, now, frozenset(item.endpoint for item in asked.said))
         return OperatorsReply(changes, state.view_age(), now - began_at, changed, crashes, said)
 
     def _crashes(self, known: int) -> tuple[int, CrashesTold | None]:
--- a/stairquay/serving/shared_feeds.py
+++ b/stairquay/serving/shared_feeds.py
@@ -24,10 +24,10 @@
     ViewsReply,
     ViewsRequest,
 )
+from stairquay.serving.peer_feedback import apply_peer_feedback, feedback_for_peers
 from stairquay.serving.ports import EndpointChanges, FeedFault, Feeds, OperatorChanges
 from stairquay.serving.quarantine import CrashReport
 from stairquay.serving.state import BoxState
-from stairquay.serving.telling import take_told, told_statements
 
 Reply = TypeVar("Reply")
 
@@ -112,12 +112,12 @@
             self._apply_crash_report(-1, None)
             return None
         self._apply_crash_report(reply.crashes_revision, reply.crashes)
-        take_told(self.state, reply.said, monotonic())
+        apply_peer_feedback(self.state, reply.said, monotonic())
         # `age_s` is the age when the reply was made; `behind_s` is the age when the caller began to wait.
         return replace(reply.changes, behind_s=reply.age_s - reply.held_s + pending_s)
 
     def _operators_request(self, after: int, hold_s: float) -> OperatorsRequest:
-        feedback = told_statements(self.state, monotonic())
+        feedback = feedback_for_peers(self.state, monotonic())
         return OperatorsRequest(after, hold_s, self.state.quarantine.router_revision, feedback)
 
     def _apply_crash_report(self, revision: int, report: CrashesTold | None) -> None:
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -11,9 +11,9 @@
 from stairquay.core.catalog import Catalog
 from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import REPORT_S
+from stairquay.serving.endpoint_feedback import apply_leaving
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import take_leaving
 
 FOREIGN_REPORT_S = 2.0
 """Seconds between a router's questions for the state of other routers' engines: orders need their count of
@@ -118,7 +118,7 @@
             if report is not None and endpoint is not None:
                 self.state.take_report(endpoint, report, monotonic())
                 if report.leaving:
-                    take_leaving(self.state, endpoint.id, report.born or endpoint.born, "report")
+                    apply_leaving(self.state, endpoint.id, report.born or endpoint.born, "report")
                 self._take_clock(report.clock_ms)
             elif endpoint is not None:
                 self.state.of(endpoint).doubted_at = monotonic()
--- a/tests/loads/test_limits_of_endpoints.py
+++ b/tests/loads/test_limits_of_endpoints.py
@@ -20,12 +20,12 @@
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED, LimitNews
 from stairquay.core.pace import LIMIT_SHARES, Pace
+from stairquay.serving.endpoint_feedback import apply_limit, limit_of
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.pacing import count_sent, wait_s
+from stairquay.serving.peer_feedback import apply_peer_feedback, feedback_for_peers
 from stairquay.serving.ports import EndpointChanges
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import limit_of, take_limit
-from stairquay.serving.telling import take_told, told_statements
 from tests.states import box_state
 
 WAY_S = 0.003
@@ -121,7 +121,7 @@
         if router is not None and self.endpoint is ENGINE:
             decides = self.routers[router]
             if limit_of(state.of(self.endpoint)) < limit_of(decides.of(self.endpoint)):
-                take_told(decides, told_statements(state, now), now)
+                apply_peer_feedback(decides, feedback_for_peers(state, now), now)
             if self._sends(decides, now, chance):
                 return True
         return self._sends(state, now, chance)
@@ -134,14 +134,14 @@
 
     def _answered(self, box: int, sent_at: float, now: float, per_s: float) -> None:
         state = self.boxes[box]
-        take_limit(state, self.endpoint, state.of(self.endpoint), LimitNews(per_s, sent_at, now))
+        apply_limit(state, self.endpoint, state.of(self.endpoint), LimitNews(per_s, sent_at, now))
         if per_s < UNLIMITED:
             self.told_at_by_box.setdefault(box, now)
 
     def _tell_each_other(self, first: BoxState, second: BoxState, now: float) -> None:
         if first is not second:
-            take_told(second, told_statements(first, now), now)
-            take_told(first, told_statements(second, now), now)
+            apply_peer_feedback(second, feedback_for_peers(first, now), now)
+            apply_peer_feedback(first, feedback_for_peers(second, now), now)
 
     def counted(self) -> list[float]:
         """Return when requests arrived from boxes that had been told half a second before."""
--- a/tests/loads/test_rests_that_end.py
+++ b/tests/loads/test_rests_that_end.py
@@ -11,10 +11,10 @@
 import pytest
 
 from stairquay.core.fleet import Endpoint
+from stairquay.serving.endpoint_feedback import apply_feedback, backoffs_by_id, record_probe
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.ports import EndpointChanges, Statement
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import note_tried, rests_of, take_statement
 from tests.states import box_state
 
 REST_S = 3.0
@@ -40,9 +40,9 @@
 
 def sends_again_at(state: BoxState, endpoint: Endpoint, asked_at: float) -> float:
     """Return when a box that always has work for an endpoint sends it the next request."""
-    take_statement(state, endpoint, state.of(endpoint), Statement(rest_s=REST_S), asked_at, asked_at)
+    apply_feedback(state, endpoint, state.of(endpoint), Statement(rest_s=REST_S), asked_at, asked_at)
     steps = range(int(LATEST_S * 200) + 1)
-    return next(asked_at + step / 200 for step in steps if not rests_of(state, asked_at + step / 200))
+    return next(asked_at + step / 200 for step in steps if not backoffs_by_id(state, asked_at + step / 200))
 
 
 @pytest.mark.parametrize("boxes", FLEETS)
@@ -56,8 +56,8 @@
         asked_at = 100.0 + chance.random() * ASKED_WITHIN_S
         again_at = sends_again_at(state, endpoint, asked_at)
         assert again_at >= asked_at + REST_S
-        note_tried(state.of(endpoint), again_at)
-        assert rests_of(state, again_at + 0.01), "the next one waits for the answer"
+        record_probe(state.of(endpoint), again_at)
+        assert backoffs_by_id(state, again_at + 0.01), "the next one waits for the answer"
         times.append(again_at)
     fullest = max(sum(start <= at < start + WINDOW_S for at in times) for start in times)
     assert fullest <= max(1, slots, BURST * WINDOW_S * slots / work_s)
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -17,13 +17,13 @@
 from stairquay.serving.choosing import Choice, Wanted, choose
 from stairquay.serving.crash_detector import CrashDetector
 from stairquay.serving.dispatch import Dispatcher
+from stairquay.serving.endpoint_feedback import apply_feedback, backoffs_by_id, limit_of
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.messages import Outcome
+from stairquay.serving.peer_feedback import apply_peer_feedback, feedback_for_peers
 from stairquay.serving.ports import EndpointChanges, EngineReport, SendFailure, Statement
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import limit_of, rests_of, take_statement
-from stairquay.serving.telling import take_told, told_statements
 from tests.loads.test_limits_of_endpoints import CATALOG
 from tests.states import box_state
 
@@ -33,7 +33,7 @@
 def hears(state: BoxState, said: Statement, ago_s: float = 0.0) -> None:
     """Take in an answer that came so long ago, to a request sent right before."""
     at = monotonic() - ago_s
-    take_statement(state, PLAIN, state.of(PLAIN), said, at, at)
+    apply_feedback(state, PLAIN, state.of(PLAIN), said, at, at)
 
 
 def knowing() -> BoxState:
@@ -44,7 +44,7 @@
 
 
 def chosen(state: BoxState) -> bool:
-    wanted = Wanted(CATALOG.services_by_id["plain"], rests_s=rests_of(state, monotonic()))
+    wanted = Wanted(CATALOG.services_by_id["plain"], rests_s=backoffs_by_id(state, monotonic()))
     return choose(state, CATALOG, wanted, Random(1)) is not None
 
 
@@ -107,7 +107,7 @@
     apply_endpoints(state, EndpointChanges(2, True, (born(1_000),)), monotonic())
     hears(state, Statement(leaving=True))
     state.take_report(state.fleet.by_id[PLAIN.id], EngineReport(born=2_000), monotonic())
-    take_told(other, told_statements(state, monotonic()), monotonic())
+    apply_peer_feedback(other, feedback_for_peers(state, monotonic()), monotonic())
     apply_endpoints(other, EndpointChanges(3, True, (born(2_000),)), monotonic())
     assert chosen(other)
 
