--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -93,7 +93,7 @@
         Queues of former routers are dropped.
         """
         live = set(self.state.live_routers())
-        said = feedback_for_peers(self.state, monotonic())
+        feedback = feedback_for_peers(self.state, monotonic())
         for router in list(self.ended_by_router):
             if router not in self.state.routers:
                 del self.ended_by_router[router]
@@ -102,7 +102,7 @@
                 notice = FinishedNotice(
                     tuple(self.ended_by_router.pop(router)),
                     tuple(self.prefilled_by_router.pop(router, ())),
-                    said,
+                    feedback,
                 )
                 self.sending_by_router[router] = asyncio.create_task(self._send(router, notice))
             elif router not in live:
