--- a/stairquay/serving/endpoint_feedback.py
+++ b/stairquay/serving/endpoint_feedback.py
@@ -1,8 +1,7 @@
-"""What endpoints say of their use, in answers to requests: a limit, in requests a second from all callers
-together; that they leave; for how long they want nothing from this box.
+"""Applies the feedback that endpoints give in their answers: a rate limit, leaving, or a backoff.
 
-It is taken in here, whoever heard it and at whatever kind of request. It binds one life of an endpoint, and
-outlives its entry in the list, which lapses where the table service is away.
+Feedback holds for one incarnation of an endpoint. It is kept when the endpoint's entry in the list lapses, as
+happens while the table service is down.
 """
 
 from dataclasses import replace
@@ -18,7 +17,7 @@
 
 
 def limit_of(endpoint_state: EndpointState) -> float:
-    """Return the limit that an endpoint names, UNLIMITED where it names none."""
+    """Return an endpoint's rate limit in requests a second, UNLIMITED if it has none."""
     return UNLIMITED if endpoint_state.limit is None else endpoint_state.limit.per_s
 
 
@@ -30,9 +29,9 @@
     sent_at: float,
     now: float,
 ) -> None:
-    """Take in what the head of an answer says, that came now to a request sent at `sent_at`.
+    """Apply the feedback in the head of an answer, received at `now` to a request sent at `sent_at`.
 
-    held: the life of the endpoint that answered.
+    endpoint_state: of the incarnation that answered. Times are in monotonic seconds.
     """
     for topic, text in feedback.unreadable:
         _record_unreadable(state, endpoint, endpoint_state, topic, text)
@@ -45,7 +44,7 @@
 
 
 def apply_leaving(state: BoxState, endpoint_id: str, born: int, source: str) -> None:
-    """Take in that a life of an endpoint leaves: nothing new goes there. source: who said so, for the log."""
+    """Mark an incarnation of an endpoint as leaving, so that it gets no new work. source: for the log."""
     if not state.fleet.say_leaving(endpoint_id, born, monotonic()):
         return
     listed = state.fleet.by_id.get(endpoint_id)
@@ -68,8 +67,11 @@
     sent_at: float,
     now: float,
 ) -> None:
-    """Take in for how long an endpoint wants nothing. Of rests that overlap, the one that ends last holds; it
-    is over with an answer that asks for none, to a request sent after its end."""
+    """Start a backoff of `backoff_s` seconds, or end it where that is 0.
+
+    Of overlapping backoffs the one that ends last holds. It ends with an answer without one to a request sent
+    after its time.
+    """
     backoff = endpoint_state.rest
     if backoff_s == 0:
         if backoff is not None and sent_at >= backoff.until:
@@ -93,10 +95,10 @@
 
 
 def _stagger_s(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, backoff_s: float) -> float:
-    """Return the seconds after a rest at which this box comes back, in a turn of all boxes.
+    """Return the seconds by which this box extends a backoff, so that boxes do not resume all at once.
 
-    An endpoint in need asks many boxes at once, whose rests end together. They come one after the other, as
-    its places and the time of an answer allow, and within the length of the rest once more.
+    Boxes resume in the order of their ids, at the rate at which the endpoint can answer, but within
+    `backoff_s` seconds.
     """
     boxes = len(state.boxes)
     rank = sum(other < state.settings.id for other in state.boxes)
@@ -107,7 +109,7 @@
 def apply_limit(
     state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, report: LimitNews
 ) -> None:
-    """Take in what an answer said of its endpoint's limit, here or at another box."""
+    """Apply the rate limit of an answer that this box or another one received."""
     if endpoint_state.limit is None and report.per_s == UNLIMITED:
         return
     previous_per_s = limit_of(endpoint_state)
@@ -132,9 +134,9 @@
 def _record_unreadable(
     state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, topic: Topic, text: str
 ) -> None:
-    """Count an answer of which something cannot be read; what is known of that stands.
+    """Count feedback that could not be parsed, and log it if it differs from the last one.
 
-    Logged once for each life of an endpoint and each text in a row.
+    The earlier feedback on this topic stays in force.
     """
     state.metrics.unreadable_statements.labels(topic.value).inc()
     if endpoint_state.unreadable_by_topic.get(topic) != text:
@@ -149,9 +151,9 @@
 
 
 def backoffs_by_id(state: BoxState, now: float) -> dict[str, float]:
-    """Return by id the seconds for which endpoints want nothing from this box.
+    """Return by endpoint id the seconds for which this box must send it nothing.
 
-    Where a rest is over and its first request is under way, that is about as long as its answer takes.
+    After a backoff that is the usual response time, at most, while the first request is under way.
     """
     backoffs_s: dict[str, float] = {}
     for endpoint_id in state.resting:
@@ -167,11 +169,11 @@
 
 
 def is_backing_off(endpoint_state: EndpointState, now: float) -> bool:
-    """Tell whether an endpoint has asked this box for rest that is not over."""
+    """Return whether an endpoint's backoff for this box has not ended yet."""
     return endpoint_state.rest is not None and now < endpoint_state.rest.until
 
 
 def record_probe(endpoint_state: EndpointState, now: float) -> None:
-    """Take in that a request goes to an endpoint, which shows whether its rest is over."""
+    """Record that a request is sent to an endpoint, whose answer shows whether its backoff has ended."""
     if endpoint_state.rest is not None:
         endpoint_state.rest = replace(endpoint_state.rest, tried_at=now)
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -1,6 +1,6 @@
 """Sends routers notices of prompts that have left their engines.
 
-Notices also carry what endpoints said in their answers, and serve as pings between routers. Each router gets
+Notices also carry feedback of endpoints, and serve as pings between routers. Each router gets
 one notice at a time, so that an unresponsive one does not delay the others.
 """
 
--- a/stairquay/serving/peer_feedback.py
+++ b/stairquay/serving/peer_feedback.py
@@ -1,4 +1,4 @@
-"""What boxes tell each other of what endpoints say: an answer comes to one box, and others decide too."""
+"""Exchanges endpoint feedback between boxes, since an answer reaches only the box that sent the request."""
 
 from collections.abc import Iterable
 
@@ -12,19 +12,18 @@
 from stairquay.serving.state import BoxState
 
 SHARE_PERIOD_S = 10.0
-"""Seconds for which boxes tell each other that an endpoint leaves, or that a limit has ended: each asks twice
-a second or more."""
+"""Seconds for which boxes share that an endpoint leaves or that its rate limit has ended."""
 
 MAX_MESSAGE_DELAY_S = 0.5
-"""Seconds by which what another box heard may be older than it says: for the way of a message."""
+"""Seconds that a message between boxes may take, added to the age of its contents."""
 
 
 def feedback_for_peers(
     state: BoxState, now: float, include_ids: frozenset[str] = frozenset()
 ) -> tuple[StatementTold, ...]:
-    """Return what other boxes should know of what endpoints said.
+    """Return the feedback that other boxes should know.
 
-    also: endpoints of which to tell in any case, since the other box believes something else.
+    include_ids: endpoints to include in any case, since the other box may have outdated feedback of them.
     """
     backoffs_s = backoffs_by_id(state, now)
     ids = {*_limited_ids(state, now, include_ids), *_leaving_ids(state, now, include_ids), *backoffs_s}
@@ -35,7 +34,7 @@
 
 
 def backoffs_for_router(state: BoxState, now: float) -> tuple[StatementTold, ...]:
-    """Return which endpoints want rest from this box."""
+    """Return the backoffs that bind this box."""
     return tuple(
         StatementTold(endpoint_id, 0, rest_s=rest_s)
         for endpoint_id, rest_s in backoffs_by_id(state, now).items()
@@ -43,7 +42,7 @@
 
 
 def limit_feedback(endpoint: Endpoint, endpoint_state: EndpointState, now: float) -> StatementTold | None:
-    """Return what this box heard of an endpoint's limit, for another box; None where it heard of none."""
+    """Return an endpoint's last known rate limit for another box, None if there was never one."""
     limit = endpoint_state.limit
     if limit is None:
         return None
@@ -53,8 +52,10 @@
 
 
 def apply_peer_feedback(state: BoxState, feedback: Iterable[StatementTold], now: float) -> None:
-    """Take in what another box heard. What another life of an endpoint said binds nobody; a rest binds only
-    the box that was asked for it."""
+    """Apply the leaving state and rate limits that another box received.
+
+    Limits of another incarnation are ignored. Backoffs bind only the box that received them.
+    """
     for item in feedback:
         endpoint = state.fleet.by_id.get(item.endpoint)
         endpoint_state = None if endpoint is None else state.of(endpoint)
@@ -72,7 +73,7 @@
 
 
 def _limited_ids(state: BoxState, now: float, include_ids: frozenset[str]) -> set[str]:
-    """Return the endpoints that name a limit, or lately ceased to."""
+    """Return the ids of endpoints that have a rate limit, or had one until lately."""
     endpoint_ids = set()
     for endpoint_id in state.limited & state.fleet.by_id.keys():
         endpoint_state = state.endpoints_by_id.get(endpoint_id)
@@ -88,7 +89,7 @@
 
 
 def _leaving_ids(state: BoxState, now: float, include_ids: frozenset[str]) -> set[str]:
-    """Return the endpoints that lately were heard to be leaving."""
+    """Return the ids of endpoints that were lately marked as leaving."""
     by_id = state.fleet.leaving_by_id
     return {
         endpoint_id
@@ -110,6 +111,6 @@
     feedback = limit_feedback(endpoint, endpoint_state, now) or StatementTold(
         endpoint_id, endpoint_state.born
     )
-    # A newer life may have been heard of before its entry came: it does not leave as the last one does.
+    # A newer incarnation, which may be known before its entry is listed, is not leaving.
     leaving = departing is not None and endpoint_state.born <= departing.born
     return structs.replace(feedback, leaving=leaving, rest_s=rest_s)
