--- a/stairquay/serving/crash_detector.py
+++ b/stairquay/serving/crash_detector.py
@@ -1,7 +1,6 @@
 """Detects crashed endpoints, and records the requests that were running there.
 
-A broken connection alone does not prove a crash, and a crashed endpoint stays listed for seconds. So the
-endpoint is probed at once.
+A broken connection does not prove a crash, and crashed endpoints stay listed for seconds, so they are probed.
 """
 
 import asyncio
@@ -18,7 +17,7 @@
 class CrashDetector:
     """Probes endpoints whose connections broke.
 
-    crashes_by_incarnation: by request digest, the crashes to record if the probe under way finds one.
+    crashes_by_incarnation: crashes to record, by request digest, for each probe under way.
     """
 
     def __init__(self, state: BoxState, peers: Peers) -> None:
@@ -42,10 +41,7 @@
         )
 
     async def _probe(self, endpoint: Endpoint, incarnation: str, born: int) -> None:
-        """Record a crash unless this incarnation of the endpoint still runs.
-
-        Further connections that break during the probe are part of the same crash.
-        """
+        """Record a crash, with connections broken meanwhile, unless this incarnation still runs."""
         try:
             accepts = await self.peers.accepts(endpoint.address)
         finally:
@@ -69,8 +65,8 @@
 
 
 def _events_received(job: Job, begun: Begun, events: int) -> int | None:
-    """Return the events of the answer received, None if an engine had not begun to answer.
+    """Return the events received, None if an engine had not begun its answer.
 
-    Plain services send nothing before they are done, so their count is used as it is.
+    A plain service answers only when done, so its missing answer does not show that it had not begun.
     """
     return None if job.service.engine is not None and not begun.replied else events
--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -1,7 +1,7 @@
 """Shares crash reports between boxes through rows in the table service, one row for each box.
 
-Routers that follow the table service read all rows and forward a summary with their view of operators' rows.
-A box without such a router reads the rows itself.
+Followers of the table service read all rows and forward a summary to the other boxes. A box without a
+follower reads the rows itself.
 """
 
 import asyncio
@@ -32,11 +32,10 @@
 """Seconds for which a call waits for changes of rows."""
 
 READ_PAUSE_S = 0.2
-"""Seconds between two such calls, so that one call returns the changes of many boxes."""
+"""Seconds between two such calls, so that one returns the changes of many boxes."""
 
 STALE_S = 5.2
-"""Seconds after which a box's view of the rows is too old to forward. It exceeds the duration of two long
-polls in a row, the second one answered as late as its timeout allows."""
+"""Seconds after which a view of the rows is not forwarded: more than two long polls, one of them late."""
 
 
 class CrashRow(msgspec.Struct, frozen=True):
@@ -51,8 +50,10 @@
 
 
 class CrashRowSync:
-    """Writes this box's row, and follows all rows while no router forwards them. revision: that of this box's
-    row, 0 if it has none."""
+    """Writes this box's row, and follows all rows while no router forwards them.
+
+    revision: of this box's row, 0 if there is none.
+    """
 
     def __init__(self, state: BoxState, table: CrashTable) -> None:
         self.state = state
@@ -138,7 +139,7 @@
         if isinstance(outcome, Committed):
             self.revision = outcome.revision
             return True
-        # An earlier process of this box wrote the row, or a write whose answer was lost succeeded.
+        # An earlier process wrote the row, or a write whose answer was lost succeeded.
         current = next((item for item in outcome.rows if item.key == key and item.value is not None), None)
         self.revision = 0 if current is None else current.revision
         if current is not None:
--- a/stairquay/serving/endpoint_feedback.py
+++ b/stairquay/serving/endpoint_feedback.py
@@ -1,7 +1,7 @@
 """Applies the feedback that endpoints give in their answers: a rate limit, leaving, or a backoff.
 
-Feedback holds for one incarnation of an endpoint. It is kept when the endpoint's entry in the list lapses, as
-happens while the table service is down.
+Feedback holds for one incarnation, and is kept when the endpoint's entry lapses while the table service is
+down.
 """
 
 from dataclasses import replace
@@ -97,8 +97,7 @@
 def _stagger_s(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, backoff_s: float) -> float:
     """Return the seconds by which this box extends a backoff, so that boxes do not resume all at once.
 
-    Boxes resume in the order of their ids, at the rate at which the endpoint can answer, but within
-    `backoff_s` seconds.
+    Boxes resume in the order of their ids, at the endpoint's service rate, within `backoff_s` seconds.
     """
     boxes = len(state.boxes)
     rank = sum(other < state.settings.id for other in state.boxes)
@@ -151,9 +150,9 @@
 
 
 def backoffs_by_id(state: BoxState, now: float) -> dict[str, float]:
-    """Return by endpoint id the seconds for which this box must send it nothing.
+    """Return by endpoint id the seconds until this box may send a request.
 
-    After a backoff that is the usual response time, at most, while the first request is under way.
+    While the first request after a backoff is under way, that is at most the usual response time.
     """
     backoffs_s: dict[str, float] = {}
     for endpoint_id in state.resting:
@@ -174,6 +173,6 @@
 
 
 def record_probe(endpoint_state: EndpointState, now: float) -> None:
-    """Record that a request is sent to an endpoint, whose answer shows whether its backoff has ended."""
+    """Record that a request is sent, whose answer shows whether the backoff has ended."""
     if endpoint_state.rest is not None:
         endpoint_state.rest = replace(endpoint_state.rest, tried_at=now)
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -1,7 +1,7 @@
 """Sends routers notices of prompts that have left their engines.
 
-Notices also carry feedback of endpoints, and serve as pings between routers. Each router gets
-one notice at a time, so that an unresponsive one does not delay the others.
+Notices also carry endpoint feedback, and serve as pings between routers. Each router gets one at a time, so
+that an unresponsive one delays no other.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from stairquay.serving.state import BoxState
 
 PING_INTERVAL_S = 0.4
-"""Seconds between two pings of a router to the others, which detect by them that it has failed."""
+"""Seconds between two pings, by which routers detect that another one has failed."""
 
 BATCH_S = 0.05
 """Seconds for which ended prompts are collected before a notice is sent."""
@@ -79,7 +79,7 @@
         self.queue_changed.notify_all()
 
     def add_prefill_finished(self, router: Member, ticket: str) -> None:
-        """Queue that the prefill of a prompt has finished. Dropped if the router is unresponsive."""
+        """Queue that a prompt's prefill has finished; dropped if the router is unresponsive."""
         if router.id == self.state.settings.id:
             self.local_router.was_read(ticket)
             return
--- a/stairquay/serving/peer_feedback.py
+++ b/stairquay/serving/peer_feedback.py
@@ -23,7 +23,7 @@
 ) -> tuple[StatementTold, ...]:
     """Return the feedback that other boxes should know.
 
-    include_ids: endpoints to include in any case, since the other box may have outdated feedback of them.
+    include_ids: endpoints of which the other box has outdated feedback.
     """
     backoffs_s = backoffs_by_id(state, now)
     ids = {*_limited_ids(state, now, include_ids), *_leaving_ids(state, now, include_ids), *backoffs_s}
@@ -52,9 +52,9 @@
 
 
 def apply_peer_feedback(state: BoxState, feedback: Iterable[StatementTold], now: float) -> None:
-    """Apply the leaving state and rate limits that another box received.
+    """Apply leaving states and rate limits that another box received.
 
-    Limits of another incarnation are ignored. Backoffs bind only the box that received them.
+    Limits of another incarnation are ignored, and backoffs bind only the box that received them.
     """
     for item in feedback:
         endpoint = state.fleet.by_id.get(item.endpoint)
@@ -73,7 +73,7 @@
 
 
 def _limited_ids(state: BoxState, now: float, include_ids: frozenset[str]) -> set[str]:
-    """Return the ids of endpoints that have a rate limit, or had one until lately."""
+    """Return the ids of endpoints that have a rate limit, or had one until recently."""
     endpoint_ids = set()
     for endpoint_id in state.limited & state.fleet.by_id.keys():
         endpoint_state = state.endpoints_by_id.get(endpoint_id)
@@ -89,7 +89,7 @@
 
 
 def _leaving_ids(state: BoxState, now: float, include_ids: frozenset[str]) -> set[str]:
-    """Return the ids of endpoints that were lately marked as leaving."""
+    """Return the ids of endpoints that were recently marked as leaving."""
     by_id = state.fleet.leaving_by_id
     return {
         endpoint_id
--- a/stairquay/serving/quarantine.py
+++ b/stairquay/serving/quarantine.py
@@ -15,13 +15,13 @@
 from stairquay.serving.endpoint import NEVER
 
 MAX_OWN_CRASHES = 64
-"""Crashes that a box detected itself, keeps and publishes; their row takes about 6 kB."""
+"""Crashes that a box publishes in its row (6 kB)."""
 
 MAX_PEER_CRASHES = 4_000
 """Crashes reported by other boxes that a box evaluates."""
 
 MAX_FORWARDED = 48
-"""Crashes that a router forwards in one reply, about 3 kB; also the limit for clearances."""
+"""Crashes, and clearances, that a router forwards in one reply (3 kB)."""
 
 MAX_FORWARDED_PER_REQUEST = 8
 """Crashes of one request that a router forwards in one reply."""
@@ -51,13 +51,11 @@
 class Quarantine:
     """Crashes known to this box, and the requests that it quarantines for them.
 
-    own_crashes: detected by this box, by request digest and endpoint incarnation. cleared: when this box
-    cleared a request. reports_by_key: reports in boxes' rows, if this box follows them; rows_revision:
-    revision of its view of them, -1 for none; rows_changed_revision: revision of their last change;
-    rows_asked_at: when they were last requested. router_report: latest report from a router, kept until the
-    rows are read; router_reporting: whether a router reports now; router_revision: its
-    `rows_changed_revision`. served_at: when this box last answered a request completely. unpublished: this
-    box's row is out of date. Times are in monotonic seconds.
+    own_crashes: by request digest and endpoint incarnation. cleared, served_at: when this box cleared a
+    request, and last served it. reports_by_key: reports in boxes' rows, while this box follows them;
+    rows_revision: of the view of them, -1 for none. router_report: latest report from a router, kept until
+    the rows are read; router_revision: its `rows_changed_revision`. unpublished: this box's row is out of
+    date. Times are in monotonic seconds.
     """
 
     def __init__(self, log: DecisionLog) -> None:
@@ -83,7 +81,7 @@
         return 0.0 if entry is None else max(0.0, entry.until - monotonic())
 
     def record_crashes(self, crashes: Iterable[Crash]) -> None:
-        """Record crashes that this box detected, except of requests that it served lately."""
+        """Record crashes that this box detected, except of requests that it served recently."""
         now = monotonic()
         for crash in crashes:
             if now - self.served_at.get(crash.digest, NEVER) > SERVED_TRUST_S:
@@ -93,7 +91,7 @@
         self._update_quarantine()
 
     def record_served(self, digest: str) -> None:
-        """Record that a request was answered completely, which clears it of suspicion."""
+        """Record a complete answer, which clears the request of suspicion."""
         self.served_at[digest] = monotonic()
         self.served_at.move_to_end(digest)
         if len(self.served_at) > MAX_SERVED:
@@ -101,7 +99,7 @@
         if self.crashes_by_digest.get(digest, 0) > 1:
             self._clear_suspicion([digest])
         else:
-            # A single crash is dropped without publishing a clearance.
+            # A single crash needs no published clearance.
             self.own_crashes = {key: crash for key, crash in self.own_crashes.items() if key[0] != digest}
 
     def apply_rows(self, reports_by_key: Mapping[str, CrashReport | None], whole: bool) -> None:
@@ -118,7 +116,7 @@
         self._on_reports_changed()
 
     def restore_own_row(self, report: CrashReport) -> None:
-        """Merge in the row that an earlier process of this box wrote."""
+        """Merge the row written by an earlier process of this box."""
         self.own_crashes = {(crash.digest, crash.life): crash for crash in report.crashes} | self.own_crashes
         self.cleared = dict(report.cleared) | self.cleared
         self._prune_own_crashes(monotonic())
@@ -138,13 +136,12 @@
         self._on_reports_changed()
 
     def end_router_reports(self) -> None:
-        """Note that no router reports now. Its last report is used until the rows are read."""
+        """Note that no router reports now; its last report is kept until the rows are read."""
         self.router_reporting = False
         self.router_revision = -1
 
     def report_to_forward(self) -> CrashReport:
-        """Return the report for boxes that do not follow the rows: crashes of quarantined requests and of
-        those that more than one endpoint crashed under, and clearances."""
+        """Return clearances, and crashes of requests that are quarantined or present at several crashes."""
         by_digest: dict[str, list[Crash]] = {}
         for crash in unexplained(self._counted_crashes(), self.quarantined_by_digest):
             by_digest.setdefault(crash.digest, []).append(crash)
--- a/stairquay/serving/shared_feeds.py
+++ b/stairquay/serving/shared_feeds.py
@@ -1,7 +1,7 @@
 """Follows the table service through routers, so that its load does not grow with the number of boxes.
 
-A few routers follow the table service; the other boxes request their views, which carry their age. A box
-whose router does not reply, or replies with an expired view, calls the table service itself.
+The other boxes request the views of a few routers, with their age. A box that gets no reply, or an expired
+view, calls the table service itself.
 """
 
 import asyncio
@@ -35,13 +35,13 @@
 """Share of the shortest propagation deadline for which a router holds a request (long poll)."""
 
 TIMEOUT_SHARE = 0.2
-"""Share of the same deadline, beyond the hold, after which a request has timed out. Both shares and the
-maximum age of a router's view together stay below the deadline."""
+"""Share of that deadline after which, beyond the hold, a request times out. Both shares and that of a view's
+maximum age add up to less than 1."""
 
 
 @dataclass(frozen=True)
 class PendingViews:
-    """A pending request for both views, and when it was sent in monotonic seconds."""
+    """A request for both views, and when it was sent (monotonic seconds)."""
 
     sent_at: float
     reply: asyncio.Task[ViewsReply | None]
@@ -103,9 +103,9 @@
         return Ok(changes) if changes is not None else await self.feeds.follow_endpoints(after, wait_s)
 
     def _accept_operators(self, reply: OperatorsReply | None, pending_s: float) -> OperatorChanges | None:
-        """Return the changes in a router's reply, None if there is none or the view has expired.
+        """Return a router's changes, None without a reply or if the view has expired.
 
-        pending_s: how long the request had been pending when the caller began to wait for it.
+        pending_s: age of the request when the caller began to wait for it.
         """
         self.operators_from_router = reply is not None and not self.state.view_too_old(reply.age_s)
         if reply is None or not self.operators_from_router:
@@ -121,7 +121,7 @@
         return OperatorsRequest(after, hold_s, self.state.quarantine.router_revision, feedback)
 
     def _apply_crash_report(self, revision: int, report: CrashesTold | None) -> None:
-        """Apply a router's crash report. revision: -1 if it has none; report: None if it is unchanged."""
+        """Apply a router's crash report. revision: -1 for none; report: None if unchanged."""
         quarantine, now = self.state.quarantine, monotonic()
         was_reporting = quarantine.router_reporting
         if revision < 0:
@@ -143,10 +143,10 @@
         return replace(reply.changes, behind_s=reply.age_s + pending_s)
 
     async def _follow_both_views(self, hold_s: float) -> tuple[ViewsReply | None, float]:
-        """Wait for a router's reply with both views; return it and how long its request was pending before.
+        """Return a router's reply with both views, and the age of its request when this call began.
 
-        The followers of the two views share one request, but only while both views come from the router: a
-        change in a view that is not used would end every shared request at once.
+        Both followers share one request, but only while both views come from the router: changes in an
+        unused view would end each shared request at once.
         """
         now = monotonic()
         if self.pending is None or self.pending.reply.done():
@@ -174,10 +174,7 @@
         return min(settings.apply_s, settings.drain_s, settings.evacuate_s)
 
     async def _request(self, ask: Callable[[Link], Awaitable[Reply | None]], question: str) -> Reply | None:
-        """Call the nearest router that follows the table service.
-
-        Return None if this box follows it itself, or no router replies.
-        """
+        """Call the nearest follower; return None if this box is a follower, or without a reply."""
         if self.state.follows:
             return None
         router = next(iter(routers_for(self.state.member, self.state.following_routers())), None)
