--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -22,7 +22,6 @@
 from stairquay.serving.crash_rows import CrashRowSync
 from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.dispatch import Dispatcher
-from stairquay.serving.endpoint_feedback import backoffs_by_id, limit_of
 from stairquay.serving.following import follow_endpoints, follow_operators
 from stairquay.serving.front import Front
 from stairquay.serving.links import Links
@@ -33,6 +32,7 @@
 from stairquay.serving.settings import BoxSettings
 from stairquay.serving.shared_feeds import SharedFeeds
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import backoffs_by_id, limit_of
 from stairquay.serving.upkeep import Upkeep
 from stairquay.serving.watching import Watcher
 
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -18,17 +18,17 @@
 from stairquay.core.routers import Member, routers_for
 from stairquay.serving.choosing import Choice, Wanted
 from stairquay.serving.decisions import Decision
-from stairquay.serving.endpoint_feedback import backoffs_by_id, limit_of
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
 from stairquay.serving.notices import NoticeSender
 from stairquay.serving.pacing import come_back_s, count_sent
-from stairquay.serving.peer_feedback import apply_peer_feedback, backoffs_for_router, feedback_for_peers
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import backoffs_by_id, limit_of
+from stairquay.serving.telling import apply_peer_feedback, backoffs_for_router, feedback_for_peers
 
 ASK_S = 0.08
 """Seconds for a router's answer: a way of 2 ms and 2 ms of a slow box's time, with room for a burst; a
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -15,7 +15,6 @@
 from stairquay.serving.choosing import Choice
 from stairquay.serving.crash_detector import CrashDetector
 from stairquay.serving.endpoint import FULL_PAUSE_S
-from stairquay.serving.endpoint_feedback import apply_feedback, is_backing_off, record_probe
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.messages import Outcome
@@ -32,6 +31,7 @@
 from stairquay.serving.refusals import RETRY_AFTER_S, all_held_back, overloaded, truthful
 from stairquay.serving.relay import cut, read_whole, relay_stream, whole_response
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import apply_feedback, is_backing_off, record_probe
 
 MAX_REFUSED = 4
 """Times that one request may be turned away by endpoints before it is refused."""
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -11,9 +11,9 @@
 from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, FinishedNotice
-from stairquay.serving.peer_feedback import feedback_for_peers
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
+from stairquay.serving.telling import feedback_for_peers
 
 PING_INTERVAL_S = 0.4
 """Seconds between two pings, by which routers detect that another one has failed."""
--- a/stairquay/serving/pacing.py
+++ b/stairquay/serving/pacing.py
@@ -12,9 +12,9 @@
 from stairquay.core.pace import COLD_SHARES, LEAST_PER_S, LIMIT_SHARES, Bound, Pace, pace_alone
 from stairquay.serving.cold import cold_for_s, cold_limit_of
 from stairquay.serving.endpoint import NEVER, EndpointState
-from stairquay.serving.endpoint_feedback import limit_of
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import limit_of
 
 UNKNOWN_BOXES = 300
 """Boxes that a box counts with before it has read who else is there: as many as a fleet may have, so that
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -6,10 +6,10 @@
 from stairquay.core.placement import Placement
 from stairquay.serving.choosing import Choice
 from stairquay.serving.decisions import Decision
-from stairquay.serving.endpoint_feedback import limit_of
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.ports import Reply, SendFailure, Statement
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import limit_of
 
 
 def said_inputs(said: Statement | None) -> dict[str, object]:
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -41,10 +41,10 @@
     ViewsRequest,
 )
 from stairquay.serving.pacing import come_back_s, count_sent, take_back
-from stairquay.serving.peer_feedback import apply_peer_feedback, feedback_for_peers, limit_feedback
 from stairquay.serving.ports import EndpointChanges, OperatorChanges
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
+from stairquay.serving.telling import apply_peer_feedback, feedback_for_peers, limit_feedback
 
 REVIEW_S = 0.25
 """Seconds between two looks at whether this box is a router, and of which engines."""
--- a/stairquay/serving/shared_feeds.py
+++ b/stairquay/serving/shared_feeds.py
@@ -24,10 +24,10 @@
     ViewsReply,
     ViewsRequest,
 )
-from stairquay.serving.peer_feedback import apply_peer_feedback, feedback_for_peers
 from stairquay.serving.ports import EndpointChanges, FeedFault, Feeds, OperatorChanges
 from stairquay.serving.quarantine import CrashReport
 from stairquay.serving.state import BoxState
+from stairquay.serving.telling import apply_peer_feedback, feedback_for_peers
 
 Reply = TypeVar("Reply")
 
--- a/stairquay/serving/peer_feedback.py
+++ b/stairquay/serving/telling.py
@@ -7,9 +7,9 @@
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED, LimitNews
 from stairquay.serving.endpoint import EndpointState
-from stairquay.serving.endpoint_feedback import apply_leaving, apply_limit, backoffs_by_id
 from stairquay.serving.messages import StatementTold
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import apply_leaving, apply_limit, backoffs_by_id
 
 SHARE_PERIOD_S = 10.0
 """Seconds for which boxes share that an endpoint leaves or that its rate limit has ended."""
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -11,9 +11,9 @@
 from stairquay.core.catalog import Catalog
 from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import REPORT_S
-from stairquay.serving.endpoint_feedback import apply_leaving
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import apply_leaving
 
 FOREIGN_REPORT_S = 2.0
 """Seconds between a router's questions for the state of other routers' engines: orders need their count of
--- a/tests/loads/test_limits_of_endpoints.py
+++ b/tests/loads/test_limits_of_endpoints.py
@@ -20,12 +20,12 @@
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED, LimitNews
 from stairquay.core.pace import LIMIT_SHARES, Pace
-from stairquay.serving.endpoint_feedback import apply_limit, limit_of
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.pacing import count_sent, wait_s
-from stairquay.serving.peer_feedback import apply_peer_feedback, feedback_for_peers
 from stairquay.serving.ports import EndpointChanges
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import apply_limit, limit_of
+from stairquay.serving.telling import apply_peer_feedback, feedback_for_peers
 from tests.states import box_state
 
 WAY_S = 0.003
--- a/tests/loads/test_limits_that_fall.py
+++ b/tests/loads/test_limits_that_fall.py
@@ -12,9 +12,9 @@
 import pytest
 
 from stairquay.core.limits import LimitNews
-from stairquay.serving.endpoint_feedback import apply_limit
 from stairquay.serving.pacing import count_sent, wait_s
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import apply_limit
 from tests.loads.test_limits_of_endpoints import PLAIN, box_of
 
 WINDOW_S = 4.0
--- a/tests/loads/test_rests_that_end.py
+++ b/tests/loads/test_rests_that_end.py
@@ -11,10 +11,10 @@
 import pytest
 
 from stairquay.core.fleet import Endpoint
-from stairquay.serving.endpoint_feedback import apply_feedback, backoffs_by_id, record_probe
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.ports import EndpointChanges, Statement
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import apply_feedback, backoffs_by_id, record_probe
 from tests.states import box_state
 
 REST_S = 3.0
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -17,13 +17,13 @@
 from stairquay.serving.choosing import Choice, Wanted, choose
 from stairquay.serving.crash_detector import CrashDetector
 from stairquay.serving.dispatch import Dispatcher
-from stairquay.serving.endpoint_feedback import apply_feedback, backoffs_by_id, limit_of
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.messages import Outcome
-from stairquay.serving.peer_feedback import apply_peer_feedback, feedback_for_peers
 from stairquay.serving.ports import EndpointChanges, EngineReport, SendFailure, Statement
 from stairquay.serving.state import BoxState
+from stairquay.serving.statements import apply_feedback, backoffs_by_id, limit_of
+from stairquay.serving.telling import apply_peer_feedback, feedback_for_peers
 from tests.loads.test_limits_of_endpoints import CATALOG
 from tests.states import box_state
 
