--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -18,21 +18,21 @@
 from stairquay.serving.asking import Chooser
 from stairquay.serving.boxes import BoxList
 from stairquay.serving.cold import cold_for_s
-from stairquay.serving.crash_rows import CrashRows
-from stairquay.serving.crashes import CrashWatch
+from stairquay.serving.crash_detector import CrashDetector
+from stairquay.serving.crash_rows import CrashRowSync
 from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.dispatch import Dispatcher
 from stairquay.serving.following import follow_endpoints, follow_operators
 from stairquay.serving.front import Front
 from stairquay.serving.links import Links
-from stairquay.serving.notices import Notices
+from stairquay.serving.notices import NoticeSender
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import Surroundings
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.settings import BoxSettings
-from stairquay.serving.sharing import SharedFeeds
+from stairquay.serving.shared_feeds import SharedFeeds
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import limit_of, rests_of
+from stairquay.serving.statements import backoffs_by_id, limit_of
 from stairquay.serving.upkeep import Upkeep
 from stairquay.serving.watching import Watcher
 
@@ -72,9 +72,9 @@
     chance = random.Random()
     links = Links(state)
     router = RouterPart(state, chance)
-    notices = Notices(state, links, router)
+    notices = NoticeSender(state, links, router)
     chooser = Chooser(state, links, router, notices, chance)
-    crashes = CrashWatch(state, surroundings.peers)
+    crashes = CrashDetector(state, surroundings.peers)
     dispatcher = Dispatcher(state, surroundings.endpoints, chooser, crashes)
     front = Front(state, surroundings.callers, dispatcher, chance)
     tasks = Tasks()
@@ -100,25 +100,25 @@
     surroundings: Surroundings,
     links: Links,
     router: RouterPart,
-    notices: Notices,
+    notices: NoticeSender,
     chance: random.Random,
 ) -> dict[str, Work]:
     """Return by name what runs besides callers' requests, each until cancelled."""
     feeds = SharedFeeds(state, surroundings.feeds, links)
-    crash_rows = CrashRows(state, surroundings.crashes)
+    crash_rows = CrashRowSync(state, surroundings.crashes)
     return {
         "log": state.log.run,
         "links": links.run,
         "router": router.run,
         "asking": notices.run,
-        "pings": notices.ping_others,
+        "pings": notices.ping_routers,
         "operators": partial(follow_operators, state, feeds),
         "endpoints": partial(follow_endpoints, state, feeds),
         "watching": Watcher(state, surroundings.peers).run,
         "orders": OrderGiver(state, surroundings.own, surroundings.peers).run,
         "boxes": BoxList(state, surroundings.own, chance).run,
         "upkeep": Upkeep(state, surroundings.peers).run,
-        "crashes told": crash_rows.tell,
+        "crashes told": crash_rows.publish,
         "crashes followed": crash_rows.follow,
     }
 
@@ -207,7 +207,7 @@
 async def _listen_metrics(state: BoxState) -> web.AppRunner:
     async def scrape(_: web.Request) -> web.Response:
         state.metrics.in_flight.set(state.in_flight)
-        state.metrics.quarantined.set(len(state.quarantine.verdict))
+        state.metrics.quarantined.set(len(state.quarantine.quarantined_by_digest))
         state.metrics.view_age.set(state.view_age())
         state.metrics.replaced.set(state.oldest_replaced_s())
         state.metrics.left_out.set(state.log.left_out_total)
@@ -237,14 +237,14 @@
             metrics.limits.labels(endpoint.id).set(per_s)
         if endpoint.leaving:
             metrics.leaving.labels(endpoint.id).set(1)
-    for name, rest_s in rests_of(state, now).items():
+    for name, rest_s in backoffs_by_id(state, now).items():
         metrics.rests.labels(name).set(rest_s)
 
 
 async def _finish(state: BoxState) -> None:
     """Turn unready, serve on until the balancer has seen it, then finish what is under way."""
     state.stopping = True
-    state.changed.happened()
+    state.changed.notify_all()
     state.log.line(Decision.STOP, outcome="stopping", in_flight=state.in_flight)
     await asyncio.sleep(LAME_DUCK_S)
     state.refusing = True
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -22,13 +22,13 @@
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
-from stairquay.serving.notices import Notices
+from stairquay.serving.notices import NoticeSender
 from stairquay.serving.pacing import count_sent, retry_after_s
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import limit_of, rests_of
-from stairquay.serving.telling import take_told, told_rests, told_statements
+from stairquay.serving.statements import backoffs_by_id, limit_of
+from stairquay.serving.telling import apply_peer_feedback, backoffs_for_router, feedback_for_peers
 
 ASK_S = 0.08
 """Seconds for a router's answer: a way of 2 ms and 2 ms of a slow box's time, with room for a burst; a
@@ -50,7 +50,7 @@
     """Chooses the endpoint of each request: by itself, or by asking a router."""
 
     def __init__(
-        self, state: BoxState, links: Links, part: RouterPart, notices: Notices, random: Random
+        self, state: BoxState, links: Links, part: RouterPart, notices: NoticeSender, random: Random
     ) -> None:
         self.state = state
         self.links = links
@@ -104,13 +104,13 @@
         """Take in that an engine has read a prompt: its answer begins."""
         router = next((item for item in self.state.routers if item.id == choice.router), None)
         if router is not None:
-            self.notices.add_read(router, choice.ticket)
+            self.notices.add_prefill_finished(router, choice.ticket)
 
     def finished(self, choice: Choice, outcome: Outcome = Outcome.DONE) -> None:
         """Take in that a request has left the endpoint it was placed on, and how."""
         router = next((item for item in self.state.routers if item.id == choice.router), None)
         if router is not None:
-            self.notices.add(router, Ended(choice.ticket, outcome))
+            self.notices.add_ended(router, Ended(choice.ticket, outcome))
 
     async def _place(
         self, router: Member, asked: PlaceRequest, prompt: PromptShape, progress: Progress
@@ -120,7 +120,7 @@
             reply = await self._ask_knowing(router, asked)
         except asyncio.CancelledError:
             # The caller left meanwhile.
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
             raise
         if reply is None:
             return None
@@ -130,7 +130,7 @@
             return None
         endpoint = self._usable(reply, prompt)
         if endpoint is None:
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
             return None
         return _choice(endpoint, reply, router.id, asked.ticket)
 
@@ -148,11 +148,11 @@
         reply = await self._ask(router, asked)
         if reply is None or not self._unaware(reply):
             return reply
-        told = told_statements(self.state, monotonic(), frozenset((reply.endpoint,)))
+        told = feedback_for_peers(self.state, monotonic(), frozenset((reply.endpoint,)))
         reply = await self._ask(router, structs.replace(asked, said=told))
         if reply is not None and (not reply.endpoint or self._unaware(reply)):
             # What it placed at first is not sent.
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
             return PlaceReply(come_back_s=reply.come_back_s)
         return reply
 
@@ -161,7 +161,7 @@
         leaves, or that it wants rest."""
         state, now = self.state, monotonic()
         if reply.said is not None:
-            take_told(state, (reply.said,), now)
+            apply_peer_feedback(state, (reply.said,), now)
         if reply.again_s or not reply.endpoint:
             return False
         endpoint = state.fleet.by_id.get(reply.endpoint)
@@ -170,7 +170,7 @@
         by_router = UNLIMITED if reply.said is None else reply.said.per_s
         if limit_of(state.endpoint_state(endpoint)) < by_router or state.fleet.leaves(endpoint):
             return True
-        return endpoint.id in rests_of(state, now)
+        return endpoint.id in backoffs_by_id(state, now)
 
     async def _ask(self, router: Member, asked: PlaceRequest) -> PlaceReply | None:
         if router.id == self.state.settings.id:
@@ -179,7 +179,7 @@
         reply = self.links.heard(router, answer, "where a prompt runs")
         if reply is None:
             # It may have placed the prompt all the same.
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
         return reply
 
     def _usable(self, reply: PlaceReply, prompt: PromptShape) -> Endpoint | None:
@@ -193,7 +193,7 @@
         return None if too_old else usable
 
     def _choose_here(self, job: Job, progress: Progress) -> Choice | None:
-        tried, rests_s = frozenset(progress.tried), rests_of(self.state, monotonic())
+        tried, rests_s = frozenset(progress.tried), backoffs_by_id(self.state, monotonic())
         wanted = ChoiceRequest(job.service, job.call.prompt, job.workspace, tried, backoffs_s=rests_s)
         choice = choose_and_save(self.state, job.catalog, wanted, self.random)
         if choice is not None:
@@ -207,14 +207,14 @@
         if progress.come_back_s is not None:
             return progress.come_back_s
         now = monotonic()
-        rests_s = rests_of(self.state, now)
+        rests_s = backoffs_by_id(self.state, now)
         return retry_after_s(self.state, job.service.id, progress.tried, rests_s, now, self.random)
 
     def all_rest_s(self, job: Job) -> float | None:
         """Return the seconds after which the caller of a job should come back that is refused while all
         endpoints want rest from this box, those included that turned it away; None where one does not."""
         state, now = self.state, monotonic()
-        rests_s = rests_of(state, now)
+        rests_s = backoffs_by_id(state, now)
         usable = [item for item in state.fleet.usable(job.service.id, now) if takes_work(state, item)]
         if not usable or any(item.id not in rests_s for item in usable):
             return None
@@ -241,7 +241,7 @@
             tried=tuple(progress.tried),
             most_backlog_s=most_backlog_s,
             may_wait=may_wait,
-            said=told_rests(self.state, monotonic()),
+            said=backoffs_for_router(self.state, monotonic()),
         )
 
 
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -12,7 +12,7 @@
 from stairquay.core.catalog import urgency
 from stairquay.core.errors import ErrorKind, ExecutionStatus, Refusal
 from stairquay.serving.asking import Chooser
-from stairquay.serving.crashes import CrashWatch
+from stairquay.serving.crash_detector import CrashDetector
 from stairquay.serving.endpoint import BUSY_BACKOFF_S
 from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.evacuation import takes_work
@@ -31,7 +31,7 @@
 from stairquay.serving.refusals import RETRY_AFTER_S, all_held_back, overloaded, truthful
 from stairquay.serving.relay import cut, read_whole, relay_stream, whole_response
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import is_resting, note_tried, take_statement
+from stairquay.serving.statements import apply_feedback, is_backing_off, record_probe
 
 MAX_REFUSED = 4
 """Times that one request may be turned away by endpoints before it is refused."""
@@ -59,7 +59,9 @@
 class Dispatcher:
     """Sends jobs to endpoints."""
 
-    def __init__(self, state: BoxState, endpoints: Endpoints, chooser: Chooser, crashes: CrashWatch) -> None:
+    def __init__(
+        self, state: BoxState, endpoints: Endpoints, chooser: Chooser, crashes: CrashDetector
+    ) -> None:
         self.state = state
         self.endpoints = endpoints
         self.chooser = chooser
@@ -117,7 +119,7 @@
     def _quarantined_s(self, job: Job) -> float:
         """Return for how many more seconds nothing is sent of a job, because it crashes endpoints."""
         quarantine = self.state.quarantine
-        return quarantine.left_s(job.digest) if quarantine.verdict else 0.0
+        return quarantine.remaining_s(job.digest) if quarantine.quarantined_by_digest else 0.0
 
     def _fresh(self, job: Job) -> bool:
         return job.workspace is None or self.state.keys_fresh()
@@ -161,7 +163,7 @@
         if choice.placement is not None and not counted:
             held.waiting_tokens_by_request[job.call.id] = choice.placement.read
             held.on_sent(choice.placement.read + choice.placement.fetched, begun.sent_at)
-        note_tried(held, begun.sent_at)
+        record_probe(held, begun.sent_at)
         record_sent(self.state, job, choice, progress)
         try:
             sent = await self._send(job, begun, progress)
@@ -179,7 +181,7 @@
         """Take in what an answer's head says of its endpoint, before any of it is passed on."""
         said = sent.err_value.said if isinstance(sent, Err) else sent.ok_value.said
         if said is not None:
-            take_statement(self.state, begun.choice.endpoint, begun.held, said, begun.sent_at, monotonic())
+            apply_feedback(self.state, begun.choice.endpoint, begun.held, said, begun.sent_at, monotonic())
 
     async def _send(self, job: Job, begun: Begun, progress: Progress) -> Result[Reply, SendFailure]:
         left_s = job.deadline - monotonic()
@@ -189,7 +191,7 @@
         def guard() -> bool:
             if not self._fresh(job) or job.deadline <= monotonic() or self._quarantined_s(job) > 0:
                 return False
-            if not takes_work(self.state, begun.choice.endpoint) or is_resting(begun.held, monotonic()):
+            if not takes_work(self.state, begun.choice.endpoint) or is_backing_off(begun.held, monotonic()):
                 return False
             return not self._too_old(job, begun.choice)
 
@@ -291,13 +293,13 @@
             if _unreached(failure):
                 begun.held.unreachable_at = now
         if failure.broke:
-            self.crashes.broke(job, begun, progress.stream.events)
+            self.crashes.connection_broken(job, begun, progress.stream.events)
         record_failed(self.state, job, begun, failure, now)
 
     def _ended_well(self, job: Job, begun: Begun, reply: Reply, progress: Progress) -> None:
         now = monotonic()
         if reply.status < SERVER_ERROR:
-            self.state.quarantine.served(job.digest)
+            self.state.quarantine.record_served(job.digest)
         begun.held.on_outcome(False, now)
         begun.held.response_time_s += WORK_WEIGHT * ((now - begun.sent_at) - begun.held.response_time_s)
         if reply.version is not None:
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -1,126 +1,127 @@
-"""Tells routers which prompts have left their engines, and what endpoints say of their use.
+"""Sends routers notices of prompts that have left their engines.
 
-Routers find by their notices that another is gone.
-
-Each router gets one notice at a time, and a silent one holds up no other's.
+Notices also carry endpoint feedback, and serve as pings between routers. Each router gets one at a time, so
+that an unresponsive one delays no other.
 """
 
 import asyncio
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.routers import Member
+from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, FinishedNotice
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
-from stairquay.serving.telling import told_statements
-from stairquay.serving.waking import Changes
+from stairquay.serving.telling import feedback_for_peers
 
-PING_S = 0.4
-"""Seconds between two notices that a router sends to the others, so that they share out the engines of one
-that is gone."""
+PING_INTERVAL_S = 0.4
+"""Seconds between two pings, by which routers detect that another one has failed."""
 
-NOTICE_S = 0.05
-"""Seconds for which ended prompts are gathered before their routers are told."""
+BATCH_S = 0.05
+"""Seconds for which ended prompts are collected before a notice is sent."""
 
-NOTICE_ANSWER_S = 0.5
-"""Seconds for the answer to a notice; one that is lost is made up for by PLACED_S."""
+NOTICE_TIMEOUT_S = 0.5
+"""Seconds until an unanswered notice has failed."""
 
-MAX_NOTICES = 2_000
-"""Most ended prompts that wait for one router: some seconds of a box's prompts."""
+MAX_QUEUED_ENDED = 2_000
+"""Ended prompts queued for one router. Any more are dropped, and the router expires their placements."""
 
 
-class Notices:
-    """What routers have yet to be told."""
+class NoticeSender:
+    """Queues ended and prefilled prompts by router, and sends them in notices."""
 
-    def __init__(self, state: BoxState, links: Links, part: RouterPart) -> None:
+    def __init__(self, state: BoxState, links: Links, local_router: RouterPart) -> None:
         self.state = state
         self.links = links
-        self.part = part
+        self.local_router = local_router
         self.ended_by_router: dict[Member, list[Ended]] = {}
-        self.read_by_router: dict[Member, list[str]] = {}
-        self.telling_by_router: dict[Member, asyncio.Task[None]] = {}
-        self.more = Changes()
+        self.prefilled_by_router: dict[Member, list[str]] = {}
+        self.sending_by_router: dict[Member, asyncio.Task[None]] = {}
+        self.queue_changed = ChangeNotifier()
 
     async def run(self) -> None:
-        """Tell routers which prompts have ended, until cancelled."""
+        """Send queued notices until cancelled."""
         while True:
-            while (wait_s := self._next_in_s()) != 0:
-                await self.more.wait(wait_s)
-            await asyncio.sleep(NOTICE_S)
-            self._tell_all()
+            while (wait_s := self._next_send_in_s()) != 0:
+                await self.queue_changed.wait(wait_s)
+            await asyncio.sleep(BATCH_S)
+            self._send_all()
 
-    async def ping_others(self) -> None:
-        """While this box is a router, have every other one sent a notice, even where nothing has ended."""
+    async def ping_routers(self) -> None:
+        """Ping the other routers while this box is a router, until cancelled."""
         while True:
-            await self.state.changed.until(lambda: self.state.is_router)
-            self._ping()
-            await asyncio.sleep(PING_S)
+            await self.state.changed.wait_for(lambda: self.state.is_router)
+            self._queue_pings()
+            await asyncio.sleep(PING_INTERVAL_S)
 
-    def _next_in_s(self) -> float | None:
-        """Return the seconds until a router may be told something, None where nothing waits for that.
+    def _next_send_in_s(self) -> float | None:
+        """Return the seconds until the next notice may be sent, None if none is queued.
 
-        One that is being told, or does not answer, is told later.
+        Routers to which a notice is under way are left out.
         """
         now = monotonic()
         waits_s = [
             max(0.0, self.state.suspected_until_by_id.get(router.id, now) - now)
             for router in self.ended_by_router
-            if router not in self.telling_by_router
+            if router not in self.sending_by_router
         ]
         return min(waits_s, default=None)
 
-    def add(self, router: Member, ended: Ended) -> None:
-        """Have a router told that a prompt has left its engine; this box's own part hears it at once."""
+    def add_ended(self, router: Member, ended: Ended) -> None:
+        """Queue that a prompt has left its engine. This box's own router is notified at once."""
         if router.id == self.state.settings.id:
-            self.part.finished(ended)
+            self.local_router.finished(ended)
             return
-        waiting = self.ended_by_router.setdefault(router, [])
-        if len(waiting) < MAX_NOTICES:
-            waiting.append(ended)
-        self.more.happened()
+        queued = self.ended_by_router.setdefault(router, [])
+        if len(queued) < MAX_QUEUED_ENDED:
+            queued.append(ended)
+        self.queue_changed.notify_all()
 
-    def add_read(self, router: Member, ticket: str) -> None:
-        """Have a router told that a prompt has been read; one that is not told in time hears it no more."""
+    def add_prefill_finished(self, router: Member, ticket: str) -> None:
+        """Queue that a prompt's prefill has finished; dropped if the router is unresponsive."""
         if router.id == self.state.settings.id:
-            self.part.was_read(ticket)
+            self.local_router.was_read(ticket)
             return
         self.ended_by_router.setdefault(router, [])
-        self.read_by_router.setdefault(router, []).append(ticket)
-        self.more.happened()
+        self.prefilled_by_router.setdefault(router, []).append(ticket)
+        self.queue_changed.notify_all()
+
+    def _send_all(self) -> None:
+        """Send a notice to each live router that has one queued and none under way.
 
-    def _tell_all(self) -> None:
-        """Send each router its notice, one at a time for each; those not heard lately wait."""
+        Queues of former routers are dropped.
+        """
         live = set(self.state.live_routers())
-        said = told_statements(self.state, monotonic())
+        feedback = feedback_for_peers(self.state, monotonic())
         for router in list(self.ended_by_router):
             if router not in self.state.routers:
                 del self.ended_by_router[router]
-                self.read_by_router.pop(router, None)
-            elif router in live and router not in self.telling_by_router:
+                self.prefilled_by_router.pop(router, None)
+            elif router in live and router not in self.sending_by_router:
                 notice = FinishedNotice(
                     tuple(self.ended_by_router.pop(router)),
-                    tuple(self.read_by_router.pop(router, ())),
-                    said,
+                    tuple(self.prefilled_by_router.pop(router, ())),
+                    feedback,
                 )
-                self.telling_by_router[router] = asyncio.create_task(self._tell(router, notice))
+                self.sending_by_router[router] = asyncio.create_task(self._send(router, notice))
             elif router not in live:
-                self.read_by_router.pop(router, None)
+                self.prefilled_by_router.pop(router, None)
 
-    def _ping(self) -> None:
-        """Have a notice sent to every other router, even where nothing has ended."""
+    def _queue_pings(self) -> None:
+        """Queue a notice, which may be empty, for every other router."""
         for router in self.state.live_routers():
             if router.id != self.state.settings.id:
                 self.ended_by_router.setdefault(router, [])
-        self.more.happened()
+        self.queue_changed.notify_all()
 
-    async def _tell(self, router: Member, notice: FinishedNotice) -> None:
+    async def _send(self, router: Member, notice: FinishedNotice) -> None:
         try:
-            answer = await self.links.to(router).finished(notice, NOTICE_ANSWER_S)
+            answer = await self.links.to(router).finished(notice, NOTICE_TIMEOUT_S)
         finally:
-            del self.telling_by_router[router]
-            self.more.happened()
-        if self.links.heard(router, answer, "what has ended") is None:
-            # Told again once it is asked again: hearing the same twice changes nothing.
+            del self.sending_by_router[router]
+            self.queue_changed.notify_all()
+        if self.links.heard(router, answer, "ended prompts") is None:
+            # Retried once the router is back; notices are idempotent.
             for item in notice.ended:
-                self.add(router, item)
+                self.add_ended(router, item)
--- /dev/null
+++ b/stairquay/serving/shared_feeds.py
@@ -0,0 +1,183 @@
+"""Follows the table service through routers, so that its load does not grow with the number of boxes.
+
+The other boxes request the views of a few routers, with their age. A box that gets no reply, or an expired
+view, calls the table service itself.
+"""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, replace
+from typing import TypeVar
+
+from result import Ok, Result
+
+from stairquay.adapters.clock import monotonic
+from stairquay.core.crashes import Crash
+from stairquay.core.routers import routers_for
+from stairquay.serving.links import Link, Links
+from stairquay.serving.messages import (
+    CrashesTold,
+    EndpointsReply,
+    EndpointsRequest,
+    OperatorsReply,
+    OperatorsRequest,
+    ViewsReply,
+    ViewsRequest,
+)
+from stairquay.serving.ports import EndpointChanges, FeedFault, Feeds, OperatorChanges
+from stairquay.serving.quarantine import CrashReport
+from stairquay.serving.state import BoxState
+from stairquay.serving.telling import apply_peer_feedback, feedback_for_peers
+
+Reply = TypeVar("Reply")
+
+HOLD_SHARE = 0.2
+"""Share of the shortest propagation deadline for which a router holds a request (long poll)."""
+
+TIMEOUT_SHARE = 0.2
+"""Share of that deadline after which, beyond the hold, a request times out. Both shares and that of a view's
+maximum age add up to less than 1."""
+
+
+@dataclass(frozen=True)
+class PendingViews:
+    """A request for both views, and when it was sent (monotonic seconds)."""
+
+    sent_at: float
+    reply: asyncio.Task[ViewsReply | None]
+
+
+class SharedFeeds:
+    """Feeds of the table service, read through a router where there is one.
+
+    operators_from_router: the current view of operators' rows came from a router.
+    """
+
+    def __init__(self, state: BoxState, feeds: Feeds, links: Links) -> None:
+        self.state = state
+        self.feeds = feeds
+        self.links = links
+        self.pending: PendingViews | None = None
+        self.operators_from_router = False
+
+    async def read_operators(self) -> Result[OperatorChanges, FeedFault]:
+        """Read the configuration and the named versions."""
+        timeout_s = self._timeout_s()
+        request = self._operators_request(self.state.operators_revision, 0.0)
+        reply = await self._request(lambda link: link.operators(request, timeout_s), "operators' rows")
+        changes = self._accept_operators(reply, 0.0)
+        return Ok(changes) if changes is not None else await self.feeds.read_operators()
+
+    async def follow_operators(self, after: int, wait_s: float) -> Result[OperatorChanges, FeedFault]:
+        """Wait for changes of operators' rows after a revision."""
+        hold_s = self._hold_s(wait_s)
+        if self.state.list_from_router:
+            views, pending_s = await self._follow_both_views(hold_s)
+            reply = None if views is None else views.operators
+        else:
+            request, timeout_s, pending_s = self._operators_request(after, hold_s), self._timeout_s(), 0.0
+            reply = await self._request(lambda link: link.operators(request, timeout_s), "operators' rows")
+        changes = self._accept_operators(reply, pending_s)
+        return Ok(changes) if changes is not None else await self.feeds.follow_operators(after, wait_s)
+
+    async def read_endpoints(self) -> Result[EndpointChanges, FeedFault]:
+        """Read the list of endpoints."""
+        timeout_s = self._timeout_s()
+        request = EndpointsRequest(self.state.list_revision, 0.0)
+        reply = await self._request(lambda link: link.endpoints(request, timeout_s), "the list of endpoints")
+        changes = self._accept_endpoints(reply, 0.0)
+        return Ok(changes) if changes is not None else await self.feeds.read_endpoints()
+
+    async def follow_endpoints(self, after: int, wait_s: float) -> Result[EndpointChanges, FeedFault]:
+        """Wait for changes of the list after a revision."""
+        hold_s = self._hold_s(wait_s)
+        if self.operators_from_router:
+            views, pending_s = await self._follow_both_views(hold_s)
+            reply = None if views is None else views.endpoints
+        else:
+            request, timeout_s, pending_s = EndpointsRequest(after, hold_s), self._timeout_s(), 0.0
+            reply = await self._request(
+                lambda link: link.endpoints(request, timeout_s), "the list of endpoints"
+            )
+        changes = self._accept_endpoints(reply, pending_s)
+        return Ok(changes) if changes is not None else await self.feeds.follow_endpoints(after, wait_s)
+
+    def _accept_operators(self, reply: OperatorsReply | None, pending_s: float) -> OperatorChanges | None:
+        """Return a router's changes, None without a reply or if the view has expired.
+
+        pending_s: age of the request when the caller began to wait for it.
+        """
+        self.operators_from_router = reply is not None and not self.state.view_expired(reply.age_s)
+        if reply is None or not self.operators_from_router:
+            self._apply_crash_report(-1, None)
+            return None
+        self._apply_crash_report(reply.crashes_revision, reply.crashes)
+        apply_peer_feedback(self.state, reply.said, monotonic())
+        # `age_s` is the age when the reply was made; `behind_s` is the age when the caller began to wait.
+        return replace(reply.changes, behind_s=reply.age_s - reply.held_s + pending_s)
+
+    def _operators_request(self, after: int, hold_s: float) -> OperatorsRequest:
+        feedback = feedback_for_peers(self.state, monotonic())
+        return OperatorsRequest(after, hold_s, self.state.quarantine.router_revision, feedback)
+
+    def _apply_crash_report(self, revision: int, report: CrashesTold | None) -> None:
+        """Apply a router's crash report. revision: -1 for none; report: None if unchanged."""
+        quarantine, now = self.state.quarantine, monotonic()
+        was_reporting = quarantine.router_reporting
+        if revision < 0:
+            quarantine.end_router_reports()
+        elif report is not None:
+            crashes = tuple(
+                Crash(item.digest, item.life, now - item.ago_s, item.ran_s, item.events)
+                for item in report.crashes
+            )
+            cleared = {digest: now - ago_s for digest, ago_s in report.cleared}
+            quarantine.apply_router_report(CrashReport(crashes, cleared), revision)
+        if was_reporting != quarantine.router_reporting:
+            self.state.changed.notify_all()
+
+    def _accept_endpoints(self, reply: EndpointsReply | None, pending_s: float) -> EndpointChanges | None:
+        self.state.list_from_router = reply is not None and not self.state.list_expired(reply.age_s)
+        if reply is None or not self.state.list_from_router:
+            return None
+        return replace(reply.changes, behind_s=reply.age_s + pending_s)
+
+    async def _follow_both_views(self, hold_s: float) -> tuple[ViewsReply | None, float]:
+        """Return a router's reply with both views, and the age of its request when this call began.
+
+        Both followers share one request, but only while both views come from the router: changes in an
+        unused view would end each shared request at once.
+        """
+        now = monotonic()
+        if self.pending is None or self.pending.reply.done():
+            self.pending = PendingViews(now, asyncio.create_task(self._request_views(hold_s)))
+        pending = self.pending
+        return await asyncio.shield(pending.reply), now - pending.sent_at
+
+    async def _request_views(self, hold_s: float) -> ViewsReply | None:
+        state = self.state
+        request = ViewsRequest(
+            self._operators_request(state.operators_revision, hold_s),
+            EndpointsRequest(state.list_revision, hold_s),
+        )
+        return await self._request(lambda link: link.views(request, self._timeout_s()), "both views")
+
+    def _hold_s(self, wait_s: float) -> float:
+        return min(wait_s, self._shortest_deadline_s() * HOLD_SHARE)
+
+    def _timeout_s(self) -> float:
+        return self._shortest_deadline_s() * TIMEOUT_SHARE
+
+    def _shortest_deadline_s(self) -> float:
+        """Return the shortest time in which a change must have propagated."""
+        settings = self.state.settings
+        return min(settings.apply_s, settings.drain_s, settings.evacuate_s)
+
+    async def _request(self, ask: Callable[[Link], Awaitable[Reply | None]], question: str) -> Reply | None:
+        """Call the nearest follower; return None if this box is a follower, or without a reply."""
+        if self.state.is_follower:
+            return None
+        router = next(iter(routers_for(self.state.member, self.state.following_routers())), None)
+        if router is None:
+            return None
+        return self.links.heard(router, await ask(self.links.to(router)), question)
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -1,8 +1,7 @@
-"""What endpoints say of their use, in answers to requests: a limit, in requests a second from all callers
-together; that they leave; for how long they want nothing from this box.
+"""Applies the feedback that endpoints give in their answers: a rate limit, leaving, or a backoff.
 
-It is taken in here, whoever heard it and at whatever kind of request. It binds one life of an endpoint, and
-outlives its entry in the list, which lapses where the table service is away.
+Feedback holds for one incarnation, and is kept when the endpoint's entry lapses while the table service is
+down.
 """
 
 from dataclasses import replace
@@ -17,30 +16,35 @@
 from stairquay.serving.state import BoxState
 
 
-def limit_of(held: EndpointState) -> float:
-    """Return the limit that an endpoint names, UNLIMITED where it names none."""
-    return UNLIMITED if held.limit is None else held.limit.per_s
+def limit_of(endpoint_state: EndpointState) -> float:
+    """Return an endpoint's rate limit in requests a second, UNLIMITED if it has none."""
+    return UNLIMITED if endpoint_state.limit is None else endpoint_state.limit.per_s
 
 
-def take_statement(
-    state: BoxState, endpoint: Endpoint, held: EndpointState, said: Statement, sent_at: float, now: float
+def apply_feedback(
+    state: BoxState,
+    endpoint: Endpoint,
+    endpoint_state: EndpointState,
+    feedback: Statement,
+    sent_at: float,
+    now: float,
 ) -> None:
-    """Take in what the head of an answer says, that came now to a request sent at `sent_at`.
+    """Apply the feedback in the head of an answer, received at `now` to a request sent at `sent_at`.
 
-    held: the life of the endpoint that answered.
+    endpoint_state: of the incarnation that answered. Times are in monotonic seconds.
     """
-    for topic, text in said.unreadable:
-        _take_unreadable(state, endpoint, held, topic, text)
-    if said.limit_per_s is not None:
-        take_limit(state, endpoint, held, LimitNews(said.limit_per_s, sent_at, now))
-    if said.leaving:
-        take_leaving(state, endpoint.id, held.born, "answer")
-    if said.rest_s is not None:
-        _take_rest(state, endpoint, held, said.rest_s, sent_at, now)
-
-
-def take_leaving(state: BoxState, endpoint_id: str, born: int, source: str) -> None:
-    """Take in that a life of an endpoint leaves: nothing new goes there. source: who said so, for the log."""
+    for topic, text in feedback.unreadable:
+        _record_unreadable(state, endpoint, endpoint_state, topic, text)
+    if feedback.limit_per_s is not None:
+        apply_limit(state, endpoint, endpoint_state, LimitNews(feedback.limit_per_s, sent_at, now))
+    if feedback.leaving:
+        apply_leaving(state, endpoint.id, endpoint_state.born, "answer")
+    if feedback.rest_s is not None:
+        _apply_backoff(state, endpoint, endpoint_state, feedback.rest_s, sent_at, now)
+
+
+def apply_leaving(state: BoxState, endpoint_id: str, born: int, source: str) -> None:
+    """Mark an incarnation of an endpoint as leaving, so that it gets no new work. source: for the log."""
     if not state.fleet.say_leaving(endpoint_id, born, monotonic()):
         return
     listed = state.fleet.by_id.get(endpoint_id)
@@ -52,81 +56,90 @@
         source=source,
         born=born,
     )
-    state.changed.happened()
+    state.changed.notify_all()
 
 
-def _take_rest(
-    state: BoxState, endpoint: Endpoint, held: EndpointState, rest_s: float, sent_at: float, now: float
+def _apply_backoff(
+    state: BoxState,
+    endpoint: Endpoint,
+    endpoint_state: EndpointState,
+    backoff_s: float,
+    sent_at: float,
+    now: float,
 ) -> None:
-    """Take in for how long an endpoint wants nothing. Of rests that overlap, the one that ends last holds; it
-    is over with an answer that asks for none, to a request sent after its end."""
-    rest = held.backoff
-    if rest_s == 0:
-        if rest is not None and sent_at >= rest.until:
-            held.backoff = None
+    """Start a backoff of `backoff_s` seconds, or end it where that is 0.
+
+    Of overlapping backoffs the one that ends last holds. It ends with an answer without one to a request sent
+    after its time.
+    """
+    backoff = endpoint_state.backoff
+    if backoff_s == 0:
+        if backoff is not None and sent_at >= backoff.until:
+            endpoint_state.backoff = None
             state.backing_off.discard(endpoint.id)
             state.log.line(Decision.REST, endpoint=endpoint.id, service=endpoint.service, outcome="ended")
         return
-    if rest is not None and rest.until >= now + rest_s:
+    if backoff is not None and backoff.until >= now + backoff_s:
         return
-    later_s = _own_turn_s(state, endpoint, held, rest_s)
-    held.backoff = Rest(now + rest_s + later_s)
+    delay_s = _stagger_s(state, endpoint, endpoint_state, backoff_s)
+    endpoint_state.backoff = Rest(now + backoff_s + delay_s)
     state.backing_off.add(endpoint.id)
     state.log.line(
         Decision.REST,
         endpoint=endpoint.id,
         service=endpoint.service,
         outcome="asked",
-        for_s=rest_s,
-        later_s=later_s,
+        for_s=backoff_s,
+        later_s=delay_s,
     )
 
 
-def _own_turn_s(state: BoxState, endpoint: Endpoint, held: EndpointState, rest_s: float) -> float:
-    """Return the seconds after a rest at which this box comes back, in a turn of all boxes.
+def _stagger_s(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, backoff_s: float) -> float:
+    """Return the seconds by which this box extends a backoff, so that boxes do not resume all at once.
 
-    An endpoint in need asks many boxes at once, whose rests end together. They come one after the other, as
-    its places and the time of an answer allow, and within the length of the rest once more.
+    Boxes resume in the order of their ids, at the endpoint's service rate, within `backoff_s` seconds.
     """
     boxes = len(state.boxes)
-    before = sum(other < state.settings.id for other in state.boxes)
-    spread_s = min(rest_s, boxes * held.response_time_s / endpoint.slots)
-    return spread_s * before / max(1, boxes)
+    rank = sum(other < state.settings.id for other in state.boxes)
+    spread_s = min(backoff_s, boxes * endpoint_state.response_time_s / endpoint.slots)
+    return spread_s * rank / max(1, boxes)
 
 
-def take_limit(state: BoxState, endpoint: Endpoint, held: EndpointState, told: LimitNews) -> None:
-    """Take in what an answer said of its endpoint's limit, here or at another box."""
-    if held.limit is None and told.per_s == UNLIMITED:
+def apply_limit(
+    state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, report: LimitNews
+) -> None:
+    """Apply the rate limit of an answer that this box or another one received."""
+    if endpoint_state.limit is None and report.per_s == UNLIMITED:
         return
-    before = limit_of(held)
+    previous_per_s = limit_of(endpoint_state)
     state.limited.add(endpoint.id)
-    held.limit = newer(held.limit, told)
-    now_per_s = limit_of(held)
-    if now_per_s == before:
+    endpoint_state.limit = newer(endpoint_state.limit, report)
+    new_per_s = limit_of(endpoint_state)
+    if new_per_s == previous_per_s:
         return
-    if now_per_s == UNLIMITED:
-        held.limit_ended_at = told.heard_at
-    outcome = "ended" if now_per_s == UNLIMITED else "named" if before == UNLIMITED else "changed"
+    if new_per_s == UNLIMITED:
+        endpoint_state.limit_ended_at = report.heard_at
+    outcome = "ended" if new_per_s == UNLIMITED else "named" if previous_per_s == UNLIMITED else "changed"
     state.log.line(
         Decision.LIMIT,
         endpoint=endpoint.id,
         service=endpoint.service,
         outcome=outcome,
-        per_s=now_per_s,
-        before_per_s=before,
+        per_s=new_per_s,
+        before_per_s=previous_per_s,
     )
 
 
-def _take_unreadable(
-    state: BoxState, endpoint: Endpoint, held: EndpointState, topic: Topic, text: str
+def _record_unreadable(
+    state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, topic: Topic, text: str
 ) -> None:
-    """Count an answer of which something cannot be read; what is known of that stands.
+    """Count feedback that could not be parsed, and log it if it differs from the last one.
 
-    Logged once for each life of an endpoint and each text in a row.
+    The earlier feedback on this topic stays in force.
     """
     state.metrics.unreadable_statements.labels(topic.value).inc()
-    if held.unreadable_by_topic.get(topic) != text:
-        held.unreadable_by_topic[topic] = text
+    if endpoint_state.unreadable_by_topic.get(topic) != text:
+        endpoint_state.unreadable_by_topic[topic] = text
         state.log.line(
             Decision(topic.value),
             endpoint=endpoint.id,
@@ -136,28 +149,30 @@
         )
 
 
-def rests_of(state: BoxState, now: float) -> dict[str, float]:
-    """Return by id the seconds for which endpoints want nothing from this box.
+def backoffs_by_id(state: BoxState, now: float) -> dict[str, float]:
+    """Return by endpoint id the seconds until this box may send a request.
 
-    Where a rest is over and its first request is under way, that is about as long as its answer takes.
+    While the first request after a backoff is under way, that is at most the usual response time.
     """
-    rests_s: dict[str, float] = {}
-    for name in state.backing_off:
-        held = state.endpoints_by_id.get(name)
-        if held is None or held.backoff is None:
+    backoffs_s: dict[str, float] = {}
+    for endpoint_id in state.backing_off:
+        endpoint_state = state.endpoints_by_id.get(endpoint_id)
+        if endpoint_state is None or endpoint_state.backoff is None:
             continue
-        wait_s = held.backoff.wait_s(now)
+        wait_s = endpoint_state.backoff.wait_s(now)
         if wait_s > 0:
-            rests_s[name] = wait_s if now < held.backoff.until else min(wait_s, held.response_time_s)
-    return rests_s
+            backoffs_s[endpoint_id] = (
+                wait_s if now < endpoint_state.backoff.until else min(wait_s, endpoint_state.response_time_s)
+            )
+    return backoffs_s
 
 
-def is_resting(held: EndpointState, now: float) -> bool:
-    """Tell whether an endpoint has asked this box for rest that is not over."""
-    return held.backoff is not None and now < held.backoff.until
+def is_backing_off(endpoint_state: EndpointState, now: float) -> bool:
+    """Return whether an endpoint's backoff for this box has not ended yet."""
+    return endpoint_state.backoff is not None and now < endpoint_state.backoff.until
 
 
-def note_tried(held: EndpointState, now: float) -> None:
-    """Take in that a request goes to an endpoint, which shows whether its rest is over."""
-    if held.backoff is not None:
-        held.backoff = replace(held.backoff, tried_at=now)
+def record_probe(endpoint_state: EndpointState, now: float) -> None:
+    """Record that a request is sent, whose answer shows whether the backoff has ended."""
+    if endpoint_state.backoff is not None:
+        endpoint_state.backoff = replace(endpoint_state.backoff, tried_at=now)
--- a/stairquay/serving/telling.py
+++ b/stairquay/serving/telling.py
@@ -1,4 +1,4 @@
-"""What boxes tell each other of what endpoints say: an answer comes to one box, and others decide too."""
+"""Exchanges endpoint feedback between boxes, since an answer reaches only the box that sent the request."""
 
 from collections.abc import Iterable
 
@@ -9,80 +9,108 @@
 from stairquay.serving.endpoint import EndpointState
 from stairquay.serving.messages import StatementTold
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import rests_of, take_leaving, take_limit
+from stairquay.serving.statements import apply_leaving, apply_limit, backoffs_by_id
 
-NEWS_S = 10.0
-"""Seconds for which boxes tell each other that an endpoint leaves, or that a limit has ended: each asks twice
-a second or more."""
+SHARE_PERIOD_S = 10.0
+"""Seconds for which boxes share that an endpoint leaves or that its rate limit has ended."""
 
-PASSING_S = 0.5
-"""Seconds by which what another box heard may be older than it says: for the way of a message."""
+MAX_MESSAGE_DELAY_S = 0.5
+"""Seconds that a message between boxes may take, added to the age of its contents."""
 
 
-def told_statements(
-    state: BoxState, now: float, also: frozenset[str] = frozenset()
+def feedback_for_peers(
+    state: BoxState, now: float, include_ids: frozenset[str] = frozenset()
 ) -> tuple[StatementTold, ...]:
-    """Return what other boxes should know of what endpoints said.
+    """Return the feedback that other boxes should know.
 
-    also: endpoints of which to tell in any case, since the other box believes something else.
+    include_ids: endpoints of which the other box has outdated feedback.
     """
-    rests_s = rests_of(state, now)
-    ids = {*_with_limits(state, now, also), *_leaving(state, now, also), *rests_s}
-    return tuple(_told(state, name, rests_s.get(name, 0.0), now) for name in sorted(ids))
+    backoffs_s = backoffs_by_id(state, now)
+    ids = {*_limited_ids(state, now, include_ids), *_leaving_ids(state, now, include_ids), *backoffs_s}
+    return tuple(
+        _endpoint_feedback(state, endpoint_id, backoffs_s.get(endpoint_id, 0.0), now)
+        for endpoint_id in sorted(ids)
+    )
 
 
-def told_rests(state: BoxState, now: float) -> tuple[StatementTold, ...]:
-    """Return which endpoints want rest from this box."""
-    return tuple(StatementTold(name, 0, rest_s=rest_s) for name, rest_s in rests_of(state, now).items())
+def backoffs_for_router(state: BoxState, now: float) -> tuple[StatementTold, ...]:
+    """Return the backoffs that bind this box."""
+    return tuple(
+        StatementTold(endpoint_id, 0, rest_s=rest_s)
+        for endpoint_id, rest_s in backoffs_by_id(state, now).items()
+    )
 
 
-def statement_told(endpoint: Endpoint, held: EndpointState, now: float) -> StatementTold | None:
-    """Return what this box heard of an endpoint's limit, for another box; None where it heard of none."""
-    limit = held.limit
+def limit_feedback(endpoint: Endpoint, endpoint_state: EndpointState, now: float) -> StatementTold | None:
+    """Return an endpoint's last known rate limit for another box, None if there was never one."""
+    limit = endpoint_state.limit
     if limit is None:
         return None
-    return StatementTold(endpoint.id, held.born, limit.per_s, now - limit.sent_at, now - limit.heard_at)
+    return StatementTold(
+        endpoint.id, endpoint_state.born, limit.per_s, now - limit.sent_at, now - limit.heard_at
+    )
 
 
-def take_told(state: BoxState, told: Iterable[StatementTold], now: float) -> None:
-    """Take in what another box heard. What another life of an endpoint said binds nobody; a rest binds only
-    the box that was asked for it."""
-    for item in told:
+def apply_peer_feedback(state: BoxState, feedback: Iterable[StatementTold], now: float) -> None:
+    """Apply leaving states and rate limits that another box received.
+
+    Limits of another incarnation are ignored, and backoffs bind only the box that received them.
+    """
+    for item in feedback:
         endpoint = state.fleet.by_id.get(item.endpoint)
-        held = None if endpoint is None else state.endpoint_state(endpoint)
+        endpoint_state = None if endpoint is None else state.endpoint_state(endpoint)
         if item.leaving:
-            born = item.born or (0 if held is None else held.born)
-            take_leaving(state, item.endpoint, born, "box")
-        if endpoint is None or held is None or (item.born and held.born and item.born != held.born):
+            born = item.born or (0 if endpoint_state is None else endpoint_state.born)
+            apply_leaving(state, item.endpoint, born, "box")
+        if (
+            endpoint is None
+            or endpoint_state is None
+            or (item.born and endpoint_state.born and item.born != endpoint_state.born)
+        ):
             continue
-        news = LimitNews(item.per_s, now - item.sent_ago_s - PASSING_S, now - item.heard_ago_s)
-        take_limit(state, endpoint, held, news)
+        report = LimitNews(item.per_s, now - item.sent_ago_s - MAX_MESSAGE_DELAY_S, now - item.heard_ago_s)
+        apply_limit(state, endpoint, endpoint_state, report)
 
 
-def _with_limits(state: BoxState, now: float, also: frozenset[str]) -> set[str]:
-    """Return the endpoints that name a limit, or lately ceased to."""
-    names = set()
-    for name in state.limited & state.fleet.by_id.keys():
-        held = state.endpoints_by_id.get(name)
-        if held is None or held.limit is None:
+def _limited_ids(state: BoxState, now: float, include_ids: frozenset[str]) -> set[str]:
+    """Return the ids of endpoints that have a rate limit, or had one until recently."""
+    endpoint_ids = set()
+    for endpoint_id in state.limited & state.fleet.by_id.keys():
+        endpoint_state = state.endpoints_by_id.get(endpoint_id)
+        if endpoint_state is None or endpoint_state.limit is None:
             continue
-        if held.limit.per_s < UNLIMITED or now - held.limit_ended_at < NEWS_S or name in also:
-            names.add(name)
-    return names
+        if (
+            endpoint_state.limit.per_s < UNLIMITED
+            or now - endpoint_state.limit_ended_at < SHARE_PERIOD_S
+            or endpoint_id in include_ids
+        ):
+            endpoint_ids.add(endpoint_id)
+    return endpoint_ids
 
 
-def _leaving(state: BoxState, now: float, also: frozenset[str]) -> set[str]:
-    """Return the endpoints that lately were heard to be leaving."""
+def _leaving_ids(state: BoxState, now: float, include_ids: frozenset[str]) -> set[str]:
+    """Return the ids of endpoints that were recently marked as leaving."""
     by_id = state.fleet.leaving_by_id
-    return {name for name, life in by_id.items() if now - life.at < NEWS_S or name in also}
+    return {
+        endpoint_id
+        for endpoint_id, incarnation in by_id.items()
+        if now - incarnation.at < SHARE_PERIOD_S or endpoint_id in include_ids
+    }
 
 
-def _told(state: BoxState, name: str, rest_s: float, now: float) -> StatementTold:
-    endpoint, left = state.fleet.by_id.get(name), state.fleet.leaving_by_id.get(name)
+def _endpoint_feedback(state: BoxState, endpoint_id: str, rest_s: float, now: float) -> StatementTold:
+    endpoint, departing = state.fleet.by_id.get(endpoint_id), state.fleet.leaving_by_id.get(endpoint_id)
     if endpoint is None:
-        return StatementTold(name, 0 if left is None else left.born, leaving=left is not None, rest_s=rest_s)
-    held = state.endpoint_state(endpoint)
-    told = statement_told(endpoint, held, now) or StatementTold(name, held.born)
-    # A newer life may have been heard of before its entry came: it does not leave as the last one does.
-    leaving = left is not None and held.born <= left.born
-    return structs.replace(told, leaving=leaving, rest_s=rest_s)
+        return StatementTold(
+            endpoint_id,
+            0 if departing is None else departing.born,
+            leaving=departing is not None,
+            rest_s=rest_s,
+        )
+    endpoint_state = state.endpoint_state(endpoint)
+    feedback = limit_feedback(endpoint, endpoint_state, now) or StatementTold(
+        endpoint_id, endpoint_state.born
+    )
+    # A newer incarnation, which may be known before its entry is listed, is not leaving.
+    leaving = departing is not None and endpoint_state.born <= departing.born
+    return structs.replace(feedback, leaving=leaving, rest_s=rest_s)
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -13,7 +13,7 @@
 from stairquay.serving.endpoint import REPORT_INTERVAL_S
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
-from stairquay.serving.statements import take_leaving
+from stairquay.serving.statements import apply_leaving
 
 FOREIGN_REPORT_S = 2.0
 """Seconds between a router's questions for the state of other routers' engines: orders need their count of
@@ -62,7 +62,7 @@
                 if self.tasks_by_name or self.state.is_router:
                     await asyncio.sleep(REVIEW_S)
                 else:
-                    await self.state.changed.until(lambda: self.state.is_router)
+                    await self.state.changed.wait_for(lambda: self.state.is_router)
         finally:
             for task in self.tasks_by_name.values():
                 task.cancel()
@@ -118,7 +118,7 @@
             if report is not None and endpoint is not None:
                 self.state.apply_report(endpoint, report, monotonic())
                 if report.leaving:
-                    take_leaving(self.state, endpoint.id, report.born or endpoint.born, "report")
+                    apply_leaving(self.state, endpoint.id, report.born or endpoint.born, "report")
                 self._take_clock(report.clock_ms)
             elif endpoint is not None:
                 self.state.endpoint_state(endpoint).unreachable_at = monotonic()
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -6,14 +6,14 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.routers import Member
+from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.following import apply_operators
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, FinishedNotice, Nothing, OperatorsRequest
-from stairquay.serving.notices import Notices
+from stairquay.serving.notices import NoticeSender
 from stairquay.serving.ports import OperatorChanges
 from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
-from stairquay.serving.waking import Changes
 from tests.site import eventually
 from tests.states import box_state
 
@@ -23,13 +23,13 @@
 
 def test_all_who_wait_are_woken_and_conditions_are_looked_at_again():
     async def scenario():
-        changes, seen = Changes(), []
-        waiting = [asyncio.create_task(changes.until(lambda n=n: len(seen) > n, 5.0)) for n in range(3)]
+        changes, seen = ChangeNotifier(), []
+        waiting = [asyncio.create_task(changes.wait_for(lambda n=n: len(seen) > n, 5.0)) for n in range(3)]
         for number in range(3):
             await asyncio.sleep(0.01)
             assert [task.done() for task in waiting] == [other < number for other in range(3)]
             seen.append(number)
-            changes.happened()
+            changes.notify_all()
         assert await asyncio.gather(*waiting) == [True, True, True]
 
     asyncio.run(scenario())
@@ -37,25 +37,25 @@
 
 def test_a_condition_that_holds_already_is_not_waited_for_and_one_that_never_does_ends_at_the_limit():
     async def scenario():
-        changes = Changes()
-        assert await changes.until(lambda: True)
+        changes = ChangeNotifier()
+        assert await changes.wait_for(lambda: True)
         began = monotonic()
-        assert not await changes.until(lambda: False, 0.05)
+        assert not await changes.wait_for(lambda: False, 0.05)
         assert monotonic() - began >= 0.05
-        assert not changes._waiting
+        assert not changes._waiters
 
     asyncio.run(scenario())
 
 
 def test_who_is_cancelled_while_waiting_leaves_nothing_behind():
     async def scenario():
-        changes = Changes()
+        changes = ChangeNotifier()
         task = asyncio.create_task(changes.wait(5.0))
         await asyncio.sleep(0)
         task.cancel()
         with pytest.raises(asyncio.CancelledError):
             await task
-        assert not changes._waiting
+        assert not changes._waiters
 
     asyncio.run(scenario())
 
@@ -97,16 +97,16 @@
         state.routers = (first, second)
         channels = Channels(state)
         channels.silent.add("two")
-        notices = Notices(state, channels, RouterPart(state, None))
+        notices = NoticeSender(state, channels, RouterPart(state, None))
         telling = asyncio.create_task(notices.run())
         await asyncio.sleep(0.05)
-        notices.add(first, Ended("t-1"))
-        notices.add(second, Ended("t-2"))
+        notices.add_ended(first, Ended("t-1"))
+        notices.add_ended(second, Ended("t-2"))
         await eventually(lambda: ("one", FinishedNotice((Ended("t-1"),), ())) in channels.told, 2.0)
         await eventually(lambda: state.suspected_until_by_id, 2.0)
         channels.silent.clear()
         await eventually(lambda: ("two", FinishedNotice((Ended("t-2"),), ())) in channels.told, 2.0)
-        assert not notices.ended_by_router and not notices.telling_by_router
+        assert not notices.ended_by_router and not notices.sending_by_router
         telling.cancel()
 
     asyncio.run(scenario())
