--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -20,8 +20,8 @@
 from stairquay.serving.cold import cold_for_s
 from stairquay.serving.crash_rows import CrashRows
 from stairquay.serving.crashes import CrashWatch
-from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.dispatch import Dispatcher
+from stairquay.serving.event_log import EventLog, LogEvent
 from stairquay.serving.following import follow_endpoints, follow_operators
 from stairquay.serving.front import Front
 from stairquay.serving.links import Links
@@ -65,7 +65,7 @@
 
     `load` reads the settings anew, on a hangup signal and from time to time.
     """
-    log = DecisionLog(settings.id)
+    log = EventLog(settings.id)
     state = BoxState(settings, log)
     state.boxes = (settings.id,)
     surroundings = open_surroundings()
@@ -82,13 +82,13 @@
     parts_by_name["reload"] = partial(_reload, state, load)
     for name, work in parts_by_name.items():
         tasks.start(kept_running(state, name, work))
-    log.line(Decision.START, front=settings.front, data_hall=settings.data_hall)
+    log.line(LogEvent.START, front=settings.front, data_hall=settings.data_hall)
     sites = await _listen_all(state, front, surroundings.ready_path)
     await until_stopped(tasks)
     await _finish(state)
     for site in sites:
         await site.cleanup()
-    log.line(Decision.STOP, in_flight=state.in_flight)
+    log.line(LogEvent.STOP, in_flight=state.in_flight)
     log.flush()
     await tasks.cancel()
     await links.keep_only(())
@@ -135,7 +135,7 @@
         if isinstance(loaded, Err):
             if asked or not complained:
                 mistakes = [str(mistake) for mistake in loaded.err_value]
-                state.log.line(Decision.RELOAD, outcome="kept", mistakes=mistakes)
+                state.log.line(LogEvent.RELOAD, outcome="kept", mistakes=mistakes)
             complained = True
             continue
         complained = False
@@ -143,7 +143,7 @@
         if changed:
             state.use_settings(loaded.ok_value)
         if changed or asked:
-            state.log.line(Decision.RELOAD, outcome="in_force" if changed else "unchanged", asked=asked)
+            state.log.line(LogEvent.RELOAD, outcome="in_force" if changed else "unchanged", asked=asked)
 
 
 async def _happens(event: asyncio.Event, limit_s: float) -> bool:
@@ -165,11 +165,11 @@
             if being_cancelled():
                 raise
             # Something inside was cancelled, not this part.
-            state.log.line(Decision.PART_FAILED, part=name, detail="cancelled from inside")
+            state.log.line(LogEvent.PART_FAILED, part=name, detail="cancelled from inside")
         except Exception as error:
             frame = extract_tb(error.__traceback__)[-1]
             where = f"{frame.filename.rpartition('/')[2]}:{frame.lineno}"
-            state.log.line(Decision.PART_FAILED, part=name, detail=repr(error), where=where)
+            state.log.line(LogEvent.PART_FAILED, part=name, detail=repr(error), where=where)
         await asyncio.sleep(PART_AGAIN_S)
 
 
@@ -210,7 +210,7 @@
         state.metrics.quarantined.set(len(state.quarantine.verdict))
         state.metrics.view_age.set(state.view_age())
         state.metrics.replaced.set(state.oldest_replaced_s())
-        state.metrics.left_out.set(state.log.left_out_total)
+        state.metrics.left_out.set(state.log.dropped_total)
         _measure_halls(state)
         return web.Response(body=state.metrics.text(), headers={"Content-Type": "text/plain; version=0.0.4"})
 
@@ -245,9 +245,9 @@
     """Turn unready, serve on until the balancer has seen it, then finish what is under way."""
     state.stopping = True
     state.changed.happened()
-    state.log.line(Decision.STOP, outcome="stopping", in_flight=state.in_flight)
+    state.log.line(LogEvent.STOP, outcome="stopping", in_flight=state.in_flight)
     await asyncio.sleep(LAME_DUCK_S)
     state.refusing = True
-    state.log.line(Decision.STOP, outcome="refusing", in_flight=state.in_flight)
+    state.log.line(LogEvent.STOP, outcome="refusing", in_flight=state.in_flight)
     left_s = max(0.0, state.settings.stop_s - LAME_DUCK_S - 2 * CLOSE_S)
     await wait_until(lambda: state.in_flight == 0, left_s)
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -17,8 +17,8 @@
 from stairquay.core.placement import EngineView, Placement
 from stairquay.core.routers import Member, routers_for
 from stairquay.serving.choosing import Choice, Wanted
-from stairquay.serving.decisions import Decision
 from stairquay.serving.evacuation import takes_work
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.links import Links
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
@@ -85,7 +85,7 @@
         most_s = wait_until - monotonic()
         why = "its parts are being read for another prompt"
         self.state.log.line(
-            Decision.WAITS, job.call.id, router=choice.router, why=why, again_s=choice.again_s, most_s=most_s
+            LogEvent.WAITS, job.call.id, router=choice.router, why=why, again_s=choice.again_s, most_s=most_s
         )
 
     async def _ask_routers(
--- a/stairquay/serving/boxes.py
+++ b/stairquay/serving/boxes.py
@@ -12,8 +12,8 @@
 from stairquay.core.clock import ClockOffset
 from stairquay.core.routers import Member, pick_routers
 from stairquay.core.row import Row
-from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import NEVER
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.ports import OwnTable
 from stairquay.serving.state import BoxState
 
@@ -110,7 +110,7 @@
         self.state.routers = routers
         self.state.changed.happened()
         names = [router.id for router in routers]
-        self.state.log.line(Decision.ROUTER, outcome="picked", routers=names, boxes=len(self.state.boxes))
+        self.state.log.line(LogEvent.ROUTER, outcome="picked", routers=names, boxes=len(self.state.boxes))
 
     def _usual_pause_s(self) -> float:
         """Return the seconds between two heartbeats: longer where there are many boxes."""
--- a/stairquay/serving/crashes.py
+++ b/stairquay/serving/crashes.py
@@ -9,7 +9,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.crashes import Crash
 from stairquay.core.fleet import Endpoint
-from stairquay.serving.decisions import Decision
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.jobs import Begun, Job
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
@@ -47,7 +47,7 @@
             return
         self.state.metrics.crashes.labels(self.state.metrics.labels.of(endpoint.service)).inc()
         self.state.log.line(
-            Decision.CRASHED, endpoint=endpoint.id, life=life, accepts=accepts, requests=list(suspected)
+            LogEvent.CRASHED, endpoint=endpoint.id, life=life, accepts=accepts, requests=list(suspected)
         )
         self.state.quarantine.noticed(suspected.values())
 
--- a/stairquay/serving/evacuation.py
+++ b/stairquay/serving/evacuation.py
@@ -2,7 +2,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.fleet import Endpoint
-from stairquay.serving.decisions import Decision
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.ports import OperatorChanges
 from stairquay.serving.state import BoxState
 
@@ -36,5 +36,5 @@
 def _log(state: BoxState, hall: str, outcome: str, revision: int) -> None:
     endpoints = sum(item.data_hall == hall for item in state.fleet.live())
     state.log.line(
-        Decision.EVACUATION, data_hall=hall, outcome=outcome, revision=revision, endpoints=endpoints
+        LogEvent.EVACUATION, data_hall=hall, outcome=outcome, revision=revision, endpoints=endpoints
     )
--- a/stairquay/serving/decisions.py
+++ b/stairquay/serving/event_log.py
@@ -18,23 +18,23 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.serving.waking import Changes
 
-QUEUE_LINES = 4_000
+MAX_QUEUED_LINES = 4_000
 """Lines that wait for the writer: about four seconds of a box's decisions at 1,000 a second."""
 
-LINES_S = 400
+MAX_LINES_PER_S = 400
 """Lines of one kind in a second; a busy box makes about 100 of the most frequent kind."""
 
-FLUSH_S = 0.2
+FLUSH_INTERVAL_S = 0.2
 """Seconds between two writes: fewer system calls, and a reader still sees lines at once."""
 
 CHUNK_BYTES = 32_768
 """Bytes from which lines are handed to one write."""
 
-MAX_TEXT = 200
+MAX_TEXT_CHARS = 200
 """Longest text in a line, in characters."""
 
 
-class Decision(str, Enum):
+class LogEvent(str, Enum):
     """The closed list of kinds of lines."""
 
     START = "start"
@@ -65,7 +65,7 @@
     LEFT_OUT = "left_out"
 
 
-Write = Callable[[bytes], int]
+NonBlockingWrite = Callable[[bytes], int]
 """Writes some of the bytes and returns how many; raises BlockingIOError where it would wait."""
 
 
@@ -74,39 +74,39 @@
     return os.write(1, data)
 
 
-class DecisionLog:
+class EventLog:
     """Takes lines, and writes them from time to time."""
 
-    def __init__(self, box: str, write: Write = write_standard_output) -> None:
+    def __init__(self, box: str, write: NonBlockingWrite = write_standard_output) -> None:
         self.box = box
         self.write = write
         self.lines: deque[bytes] = deque()
         self.unwritten = b""
-        self.second = 0
-        self.lines_by_kind: Tally[Decision] = Tally()
-        self.left_out_by_kind: Tally[Decision] = Tally()
-        self.left_out_total = 0
+        self.current_second = 0
+        self.lines_by_kind: Tally[LogEvent] = Tally()
+        self.dropped_by_kind: Tally[LogEvent] = Tally()
+        self.dropped_total = 0
         self.closed = False
-        self.more = Changes()
+        self.wakeup = Changes()
 
-    def line(self, kind: Decision, request: str = "", **inputs: Any) -> None:
+    def line(self, kind: LogEvent, request: str = "", **fields: Any) -> None:
         """Log one decision. `inputs` are what decided it, with ages in seconds or versions."""
         if not self._within_rate(kind):
-            self._leave_out(kind)
+            self._drop(kind)
             return
-        self._queue(kind, request, inputs)
+        self._enqueue(kind, request, fields)
 
     async def run(self) -> None:
         """Write lines until cancelled."""
         os.set_blocking(1, False)
         while True:
-            await self.more.until(self._has_more)
-            await asyncio.sleep(FLUSH_S)
+            await self.wakeup.until(self._has_pending)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             self.flush()
 
     def flush(self) -> None:
         """Write what standard output takes now."""
-        self._tell_left_out()
+        self._report_dropped()
         while not self.closed and (self.unwritten or self.lines):
             if not self.unwritten:
                 self.unwritten = self._next_chunk()
@@ -120,19 +120,19 @@
                 return
             self.unwritten = self.unwritten[written:]
 
-    def _has_more(self) -> bool:
-        return not self.closed and bool(self.unwritten or self.lines or self.left_out_by_kind)
+    def _has_pending(self) -> bool:
+        return not self.closed and bool(self.unwritten or self.lines or self.dropped_by_kind)
 
-    def _queue(self, kind: Decision, request: str, inputs: dict[str, Any]) -> None:
-        if self.closed or len(self.lines) >= QUEUE_LINES:
-            self._leave_out(kind)
+    def _enqueue(self, kind: LogEvent, request: str, fields: dict[str, Any]) -> None:
+        if self.closed or len(self.lines) >= MAX_QUEUED_LINES:
+            self._drop(kind)
             return
         record: dict[str, Any] = {"at": round(time(), 3), "box": self.box, "kind": kind.value}
         if request:
             record["request"] = request
-        record.update({key: _plain(value) for key, value in inputs.items()})
+        record.update({key: _json_value(value) for key, value in fields.items()})
         self.lines.append(msgspec.json.encode(record) + b"\n")
-        self.more.happened()
+        self.wakeup.happened()
 
     def _next_chunk(self) -> bytes:
         chunk = bytearray()
@@ -140,30 +140,30 @@
             chunk += self.lines.popleft()
         return bytes(chunk)
 
-    def _within_rate(self, kind: Decision) -> bool:
+    def _within_rate(self, kind: LogEvent) -> bool:
         second = int(monotonic())
-        if second != self.second:
-            self.second = second
+        if second != self.current_second:
+            self.current_second = second
             self.lines_by_kind.clear()
         self.lines_by_kind[kind] += 1
-        return self.lines_by_kind[kind] <= LINES_S
+        return self.lines_by_kind[kind] <= MAX_LINES_PER_S
 
-    def _leave_out(self, kind: Decision) -> None:
-        self.left_out_by_kind[kind] += 1
-        self.left_out_total += 1
-        self.more.happened()
+    def _drop(self, kind: LogEvent) -> None:
+        self.dropped_by_kind[kind] += 1
+        self.dropped_total += 1
+        self.wakeup.happened()
 
-    def _tell_left_out(self) -> None:
-        if self.closed or not self.left_out_by_kind or len(self.lines) >= QUEUE_LINES:
+    def _report_dropped(self) -> None:
+        if self.closed or not self.dropped_by_kind or len(self.lines) >= MAX_QUEUED_LINES:
             return
-        counts = {kind.value: count for kind, count in self.left_out_by_kind.items()}
-        self.left_out_by_kind.clear()
-        self._queue(Decision.LEFT_OUT, "", {"lines": counts})
+        counts = {kind.value: count for kind, count in self.dropped_by_kind.items()}
+        self.dropped_by_kind.clear()
+        self._enqueue(LogEvent.LEFT_OUT, "", {"lines": counts})
 
 
-def _plain(value: Any) -> Any:
+def _json_value(value: Any) -> Any:
     if isinstance(value, float):
         return round(value, 4) if value == value and abs(value) != float("inf") else str(value)
     if isinstance(value, str):
-        return value[:MAX_TEXT]
+        return value[:MAX_TEXT_CHARS]
     return value
--- a/stairquay/serving/following.py
+++ b/stairquay/serving/following.py
@@ -10,9 +10,9 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.catalog import Catalog
 from stairquay.serving.cold import cold_for_s
-from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import NEVER
 from stairquay.serving.evacuation import apply_evacuations
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.ports import EndpointChanges, FeedFault, Feeds, OperatorChanges
 from stairquay.serving.state import BoxState
 
@@ -161,7 +161,7 @@
 def apply_operators(state: BoxState, changes: OperatorChanges, asked_at: float) -> None:
     """Put a newer configuration in force, and note newly named versions."""
     if changes.unreadable:
-        state.log.line(Decision.CONFIGURATION, outcome="kept", unreadable=changes.unreadable)
+        state.log.line(LogEvent.CONFIGURATION, outcome="kept", unreadable=changes.unreadable)
     before = _operators_view(state)
     apply_evacuations(state, changes)
     if changes.catalog is not None:
@@ -195,7 +195,7 @@
         return
     state.catalog = catalog
     state.log.line(
-        Decision.CONFIGURATION,
+        LogEvent.CONFIGURATION,
         outcome="in_force",
         version=catalog.version,
         before=0 if held is None else held.version,
@@ -229,10 +229,10 @@
     for endpoint_id, standing in after.items():
         if before.get(endpoint_id) != standing:
             state.log.line(
-                Decision.ENDPOINTS, endpoint=endpoint_id, standing=standing, revision=changes.revision
+                LogEvent.ENDPOINTS, endpoint=endpoint_id, standing=standing, revision=changes.revision
             )
     for endpoint_id in before.keys() - after.keys():
-        state.log.line(Decision.ENDPOINTS, endpoint=endpoint_id, standing="gone", revision=changes.revision)
+        state.log.line(LogEvent.ENDPOINTS, endpoint=endpoint_id, standing="gone", revision=changes.revision)
 
 
 def _take_cold(state: BoxState, changes: EndpointChanges, now: float) -> None:
@@ -251,7 +251,7 @@
         if endpoint_id not in state.unreadable:
             state.unreadable.add(endpoint_id)
             state.metrics.unreadable.inc()
-            state.log.line(Decision.ENDPOINTS, endpoint=endpoint_id, standing="unreadable", detail=why)
+            state.log.line(LogEvent.ENDPOINTS, endpoint=endpoint_id, standing="unreadable", detail=why)
     state.unreadable.difference_update(item.id for item in changes.present)
 
 
@@ -277,11 +277,11 @@
 
 def _lost(state: BoxState, name: str, lost: bool) -> bool:
     if not lost:
-        state.log.line(Decision.DEPENDENCY, name=name, outcome="lost", view_age_s=state.view_age())
+        state.log.line(LogEvent.DEPENDENCY, name=name, outcome="lost", view_age_s=state.view_age())
     return True
 
 
 def _regained(state: BoxState, name: str, lost: bool) -> bool:
     if lost:
-        state.log.line(Decision.DEPENDENCY, name=name, outcome="regained", view_age_s=state.view_age())
+        state.log.line(LogEvent.DEPENDENCY, name=name, outcome="regained", view_age_s=state.view_age())
     return False
--- a/stairquay/serving/front.py
+++ b/stairquay/serving/front.py
@@ -10,8 +10,8 @@
 from stairquay.core.call import Call
 from stairquay.core.catalog import Catalog, Route, WorkspaceRule, pick_service
 from stairquay.core.errors import ErrorKind, Ran, Refusal
-from stairquay.serving.decisions import Decision
 from stairquay.serving.dispatch import Dispatcher
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.jobs import Job
 from stairquay.serving.ports import Callers
 from stairquay.serving.state import BoxState
@@ -63,11 +63,11 @@
             outcome = await self._serve(request, call, arrived_at)
         except asyncio.CancelledError:
             self.state.log.line(
-                Decision.ENDED, call.id, outcome="caller_left", took_s=monotonic() - arrived_at
+                LogEvent.ENDED, call.id, outcome="caller_left", took_s=monotonic() - arrived_at
             )
             raise
         except ConnectionError as error:
-            self.state.log.line(Decision.ENDED, call.id, outcome="caller_left", detail=type(error).__name__)
+            self.state.log.line(LogEvent.ENDED, call.id, outcome="caller_left", detail=type(error).__name__)
             return web.Response(status=499)
         if isinstance(outcome, Err):
             return self._refuse(call.id, outcome.err_value, arrived_at)
@@ -172,7 +172,7 @@
         catalog = self.state.catalog
         self.state.metrics.refusals.labels(refusal.kind.value, refusal.ran.value).inc()
         self.state.log.line(
-            Decision.REFUSED,
+            LogEvent.REFUSED,
             call_id,
             cause=refusal.kind.value,
             ran=refusal.ran.value,
--- a/stairquay/serving/links.py
+++ b/stairquay/serving/links.py
@@ -14,7 +14,7 @@
 from stairquay.adapters.channels import CHANNEL_OPTIONS
 from stairquay.adapters.program import being_cancelled
 from stairquay.core.routers import Member
-from stairquay.serving.decisions import Decision
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.messages import (
     EndpointsReply,
     EndpointsRequest,
@@ -162,7 +162,7 @@
 
     def _log(self, router: Member, outcome: str, question: str) -> None:
         name = f"router {router.id}"
-        self.state.log.line(Decision.DEPENDENCY, name=name, outcome=outcome, question=question)
+        self.state.log.line(LogEvent.DEPENDENCY, name=name, outcome=outcome, question=question)
 
     async def run(self) -> None:
         """Close the channels to boxes that are routers no longer, until cancelled."""
--- a/stairquay/serving/orders.py
+++ b/stairquay/serving/orders.py
@@ -17,7 +17,7 @@
 from stairquay.core.fleet import Endpoint
 from stairquay.core.lease import Held, LeaseRow, Observed, next_row, observe
 from stairquay.core.rollout import EngineState, Given, Order, next_orders, outdated
-from stairquay.serving.decisions import Decision
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.ports import OrderAnswer, OwnTable, Peers, VersionOrder
 from stairquay.serving.state import BoxState
 
@@ -171,13 +171,13 @@
         answer = await self.own.commit(commit)
         if not isinstance(answer, Err) and isinstance(answer.ok_value, Committed):
             if self.held is None:
-                self.state.log.line(Decision.LEASE, outcome="taken", fence=row.token, revision=revision)
+                self.state.log.line(LogEvent.LEASE, outcome="taken", fence=row.token, revision=revision)
             self.held = Held(row, answer.ok_value.revision, sent_at)
             self.state.metrics.leading.set(1)
             return self.held.may_act(monotonic())
         if self.held is not None:
             cause = answer.err_value.value if isinstance(answer, Err) else "conflict"
-            self.state.log.line(Decision.LEASE, outcome="lost", fence=self.held.row.token, cause=cause)
+            self.state.log.line(LogEvent.LEASE, outcome="lost", fence=self.held.row.token, cause=cause)
         self.held = None
         self.state.metrics.leading.set(0)
         return False
@@ -212,7 +212,7 @@
             self.given[order.engine, order.version] = Given(monotonic(), answered=False)
         self.state.metrics.orders.labels(answer.value).inc()
         self.state.log.line(
-            Decision.ORDER,
+            LogEvent.ORDER,
             endpoint=endpoint.id,
             model=order.model,
             version=order.version,
--- a/stairquay/serving/quarantine.py
+++ b/stairquay/serving/quarantine.py
@@ -10,8 +10,8 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.crashes import KEPT_S, Crash, Quarantined, quarantined, unexplained
-from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.endpoint import NEVER
+from stairquay.serving.event_log import EventLog, LogEvent
 from stairquay.serving.waking import Changes
 
 MOST_OWN = 64
@@ -58,7 +58,7 @@
     is something that its row does not tell yet.
     """
 
-    def __init__(self, log: DecisionLog) -> None:
+    def __init__(self, log: EventLog) -> None:
         self.log = log
         self.own: dict[tuple[str, str], Crash] = {}
         self.cleared: dict[str, float] = {}
@@ -161,7 +161,7 @@
         now = monotonic()
         for digest in digests:
             self.cleared[digest] = now
-            self.log.line(Decision.QUARANTINE, outcome="cleared", digest=digest)
+            self.log.line(LogEvent.QUARANTINE, outcome="cleared", digest=digest)
         self._bound_own(now)
         self._tell()
         self._judge()
@@ -203,9 +203,9 @@
         before, self.verdict = self.verdict, quarantined(pool, monotonic())
         for digest in self.verdict.keys() - before.keys():
             lives = [crash.life for crash in self.verdict[digest].crashes]
-            self.log.line(Decision.QUARANTINE, outcome="begun", digest=digest, crashed=lives)
+            self.log.line(LogEvent.QUARANTINE, outcome="begun", digest=digest, crashed=lives)
         for digest in before.keys() - self.verdict.keys():
-            self.log.line(Decision.QUARANTINE, outcome="ended", digest=digest)
+            self.log.line(LogEvent.QUARANTINE, outcome="ended", digest=digest)
 
     def _bound_own(self, now: float) -> None:
         """Forget own crashes that count no more, and the oldest beyond the most that are kept."""
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -5,7 +5,7 @@
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.placement import Placement
 from stairquay.serving.choosing import Choice
-from stairquay.serving.decisions import Decision
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.ports import Reply, SendFailure, Statement
 from stairquay.serving.state import BoxState
@@ -47,7 +47,7 @@
         inputs.update(_placement_inputs(state, choice, choice.placement))
     if choice.version is not None and job.call.prompt is not None:
         inputs["replaced_s"] = state.replaced_for_s(job.call.prompt.model, choice.version)
-    state.log.line(Decision.SENT, job.call.id, **inputs)
+    state.log.line(LogEvent.SENT, job.call.id, **inputs)
 
 
 def _placement_inputs(state: BoxState, choice: Choice, placement: Placement) -> dict[str, object]:
@@ -90,7 +90,7 @@
     """Log and count a failed attempt."""
     state.metrics.attempts.labels(job.service.id, failure.kind.value).inc()
     state.log.line(
-        Decision.ATTEMPT_FAILED,
+        LogEvent.ATTEMPT_FAILED,
         job.call.id,
         endpoint=begun.choice.endpoint.id,
         outcome=failure.kind.value,
@@ -109,7 +109,7 @@
     """Log that a failed job is not sent again because the budget for that is spent."""
     budget = state.budget(job.service.id)
     state.log.line(
-        Decision.ATTEMPT_FAILED,
+        LogEvent.ATTEMPT_FAILED,
         job.call.id,
         outcome="not_sent_again",
         detail="the budget for sending again is spent",
@@ -129,7 +129,7 @@
     metrics.ended.labels(route, "answered").inc()
     metrics.whole.labels(route).observe(now - job.arrived_at)
     state.log.line(
-        Decision.ENDED,
+        LogEvent.ENDED,
         job.call.id,
         outcome="answered",
         ran=Ran.RAN.value,
@@ -147,7 +147,7 @@
     """Log and count a job that ended with an endpoint's error or a cut stream."""
     state.metrics.ended.labels(state.metrics.labels.of(job.route.id), outcome).inc()
     state.log.line(
-        Decision.ENDED,
+        LogEvent.ENDED,
         job.call.id,
         outcome=outcome,
         ran=ran.value,
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -21,8 +21,8 @@
 from stairquay.serving.choosing import Choice, Wanted
 from stairquay.serving.cold import cold_for_s
 from stairquay.serving.crash_rows import STALE_S
-from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import FULL_PAUSE_S, EndpointState
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.links import Answers, serve
 from stairquay.serving.messages import (
     CrashesTold,
@@ -257,16 +257,16 @@
         try:
             self.server = await serve(address, answers)
         except OSError as error:
-            self.state.log.line(Decision.ROUTER, outcome="cannot_serve", address=address, detail=str(error))
+            self.state.log.line(LogEvent.ROUTER, outcome="cannot_serve", address=address, detail=str(error))
             return
-        self.state.log.line(Decision.ROUTER, outcome="serving", address=address, boxes=len(self.state.boxes))
+        self.state.log.line(LogEvent.ROUTER, outcome="serving", address=address, boxes=len(self.state.boxes))
 
     async def _close(self) -> None:
         if self.server is None:
             return
         server, self.server = self.server, None
         await server.stop(grace=None)
-        self.state.log.line(Decision.ROUTER, outcome="closed")
+        self.state.log.line(LogEvent.ROUTER, outcome="closed")
 
     async def _on_place(self, asked: PlaceRequest) -> PlaceReply:
         return self.place(asked)
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -9,8 +9,8 @@
 from stairquay.core.holdings import Holdings
 from stairquay.core.routers import Member, capacity, followers, placing
 from stairquay.core.versions import VersionHistory
-from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.endpoint import NEVER, EndpointState
+from stairquay.serving.event_log import EventLog, LogEvent
 from stairquay.serving.metrics import BoxMetrics
 from stairquay.serving.ports import EngineReport
 from stairquay.serving.quarantine import Quarantine
@@ -66,7 +66,7 @@
     """
 
     settings: BoxSettings
-    log: DecisionLog
+    log: EventLog
     metrics: BoxMetrics = field(default_factory=BoxMetrics)
     catalog: Catalog | None = None
     view_asked_at: float = NEVER
@@ -239,7 +239,7 @@
             held.born = born
             return held
         self.holdings.forget(endpoint.address)
-        self.log.line(Decision.BORN_ANEW, endpoint=endpoint.id, born=born, before=held.born, source=source)
+        self.log.line(LogEvent.BORN_ANEW, endpoint=endpoint.id, born=born, before=held.born, source=source)
         anew = EndpointState(born=born, known_since=monotonic())
         self.endpoints_by_id[endpoint.id] = anew
         return anew
@@ -262,7 +262,7 @@
         if after is not None and (before is None or before - after > SAME_NAMING_S):
             age_s = monotonic() - after
             self.log.line(
-                Decision.VERSION_NAMED, model=model, version=version, named_s_ago=age_s, source=source
+                LogEvent.VERSION_NAMED, model=model, version=version, named_s_ago=age_s, source=source
             )
 
     def last_view_at(self) -> float | None:
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -11,8 +11,8 @@
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED, LimitNews, newer
 from stairquay.core.rest import Rest
-from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import EndpointState
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.ports import Statement, Topic
 from stairquay.serving.state import BoxState
 
@@ -45,7 +45,7 @@
         return
     listed = state.fleet.by_id.get(endpoint_id)
     state.log.line(
-        Decision.LEAVING,
+        LogEvent.LEAVING,
         endpoint=endpoint_id,
         service=None if listed is None else listed.service,
         outcome="said",
@@ -65,7 +65,7 @@
         if rest is not None and sent_at >= rest.until:
             held.rest = None
             state.resting.discard(endpoint.id)
-            state.log.line(Decision.REST, endpoint=endpoint.id, service=endpoint.service, outcome="ended")
+            state.log.line(LogEvent.REST, endpoint=endpoint.id, service=endpoint.service, outcome="ended")
         return
     if rest is not None and rest.until >= now + rest_s:
         return
@@ -73,7 +73,7 @@
     held.rest = Rest(now + rest_s + later_s)
     state.resting.add(endpoint.id)
     state.log.line(
-        Decision.REST,
+        LogEvent.REST,
         endpoint=endpoint.id,
         service=endpoint.service,
         outcome="asked",
@@ -108,7 +108,7 @@
         held.limit_ended_at = told.heard_at
     outcome = "ended" if now_per_s == UNLIMITED else "named" if before == UNLIMITED else "changed"
     state.log.line(
-        Decision.LIMIT,
+        LogEvent.LIMIT,
         endpoint=endpoint.id,
         service=endpoint.service,
         outcome=outcome,
@@ -128,7 +128,7 @@
     if held.unreadable_by_topic.get(topic) != text:
         held.unreadable_by_topic[topic] = text
         state.log.line(
-            Decision(topic.value),
+            LogEvent(topic.value),
             endpoint=endpoint.id,
             service=endpoint.service,
             outcome="unreadable",
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -12,7 +12,7 @@
 from stairquay.core.scope import parse_scope
 from stairquay.core.versions import VersionHistory
 from stairquay.serving.choosing import FETCH_S
-from stairquay.serving.decisions import Decision
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
 from stairquay.serving.weighing import fresh_stores
@@ -82,7 +82,7 @@
         if done:
             self.state.metrics.freed.inc(len(keys))
         self.state.log.line(
-            Decision.FREED,
+            LogEvent.FREED,
             store=store.id,
             parts=len(keys),
             life=holding.life,
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -9,8 +9,8 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.catalog import Catalog
-from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import REPORT_S
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import take_leaving
@@ -163,11 +163,11 @@
                 continue
             self.state.holdings.replace(address, kept.life, kept.position, kept.parts, asked_at)
             self.state.log.line(
-                Decision.STORE_VIEW, store=address, outcome="read", parts=len(kept.parts), life=kept.life
+                LogEvent.STORE_VIEW, store=address, outcome="read", parts=len(kept.parts), life=kept.life
             )
             cause = await self._follow_store(address, kept.life, kept.position)
             self.state.holdings.forget(address)
-            self.state.log.line(Decision.STORE_VIEW, store=address, outcome="dropped", cause=cause)
+            self.state.log.line(LogEvent.STORE_VIEW, store=address, outcome="dropped", cause=cause)
 
     async def _follow_store(self, address: str, life: int, position: int) -> str:
         """Take in a store box's events until its view cannot be trusted any more; return why."""
--- a/tests/test_box_state.py
+++ b/tests/test_box_state.py
@@ -4,7 +4,7 @@
 import signal
 
 from stairquay.serving.app import kept_running
-from stairquay.serving.decisions import Decision
+from stairquay.serving.event_log import LogEvent
 from tests.site import MODEL, Site, configuration, eventually, route, site
 from tests.states import box_state
 
@@ -294,5 +294,5 @@
             assert here.logged("refused", request="lost-1", cause="unknown_path")
             assert here.logged("attempt_failed", request="again-1")
 
-    assert {kind.value for kind in Decision} == INPUTS_BY_KIND.keys() | ELSEWHERE
+    assert {kind.value for kind in LogEvent} == INPUTS_BY_KIND.keys() | ELSEWHERE
     asyncio.run(scenario())
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,7 +6,7 @@
 from stairquay.cli import main
 from stairquay.environment import Environment
 from stairquay.explain import Logs, story
-from stairquay.serving.decisions import LINES_S, QUEUE_LINES, Decision, DecisionLog
+from stairquay.serving.event_log import MAX_LINES_PER_S, MAX_QUEUED_LINES, EventLog, LogEvent
 from stairquay.status import ExitStatus
 
 
@@ -33,8 +33,8 @@
 
 def test_a_line_has_its_time_box_kind_request_and_inputs():
     reader = Reader()
-    log = DecisionLog("box-1", reader.write)
-    log.line(Decision.SENT, "r-1", endpoint="e", view_age_s=0.123456, fetch=["a", ""])
+    log = EventLog("box-1", reader.write)
+    log.line(LogEvent.SENT, "r-1", endpoint="e", view_age_s=0.123456, fetch=["a", ""])
     log.flush()
     line = reader.lines()[0]
     assert line.pop("at") > 0
@@ -44,40 +44,40 @@
 
 def test_a_stalled_reader_delays_nothing_and_what_is_left_out_is_told(monkeypatch):
     # Lines are bounded by the second: these must not fall into two of them.
-    monkeypatch.setattr("stairquay.serving.decisions.monotonic", lambda: 5.0)
+    monkeypatch.setattr("stairquay.serving.event_log.monotonic", lambda: 5.0)
     reader = Reader()
     reader.stalled = True
-    log = DecisionLog("box-1", reader.write)
-    for kind in (Decision.SENT, Decision.ENDED, Decision.REFUSED):
-        for number in range(LINES_S + 50):
+    log = EventLog("box-1", reader.write)
+    for kind in (LogEvent.SENT, LogEvent.ENDED, LogEvent.REFUSED):
+        for number in range(MAX_LINES_PER_S + 50):
             log.line(kind, f"r-{number}")
     log.flush()
-    assert len(log.lines) <= QUEUE_LINES
+    assert len(log.lines) <= MAX_QUEUED_LINES
     reader.stalled = False
     log.flush()
     log.flush()
     lines = reader.lines()
     left_out = [line for line in lines if line["kind"] == "left_out"]
-    assert sum(sum(line["lines"].values()) for line in left_out) == log.left_out_total == 150
-    assert sum(line["kind"] == "sent" for line in lines) == LINES_S
+    assert sum(sum(line["lines"].values()) for line in left_out) == log.dropped_total == 150
+    assert sum(line["kind"] == "sent" for line in lines) == MAX_LINES_PER_S
 
 
 def test_a_queue_that_is_full_keeps_its_size():
     reader = Reader()
     reader.stalled = True
-    log = DecisionLog("box-1", reader.write)
-    for number in range(QUEUE_LINES * 2):
+    log = EventLog("box-1", reader.write)
+    for number in range(MAX_QUEUED_LINES * 2):
         log.lines_by_kind.clear()
-        log.line(Decision.SENT, f"r-{number}")
-    assert len(log.lines) == QUEUE_LINES and log.left_out_total == QUEUE_LINES
+        log.line(LogEvent.SENT, f"r-{number}")
+    assert len(log.lines) == MAX_QUEUED_LINES and log.dropped_total == MAX_QUEUED_LINES
 
 
 def test_lines_that_are_taken_in_pieces_stay_whole():
     reader = Reader()
     reader.takes = 7
-    log = DecisionLog("box-1", reader.write)
+    log = EventLog("box-1", reader.write)
     for number in range(20):
-        log.line(Decision.ENDED, f"r-{number}", outcome="answered")
+        log.line(LogEvent.ENDED, f"r-{number}", outcome="answered")
     log.flush()
     assert [line["request"] for line in reader.lines()] == [f"r-{number}" for number in range(20)]
 
@@ -85,12 +85,12 @@
 def test_a_reader_that_went_away_ends_the_log_and_nothing_else():
     reader = Reader()
     reader.gone = True
-    log = DecisionLog("box-1", reader.write)
-    log.line(Decision.START)
+    log = EventLog("box-1", reader.write)
+    log.line(LogEvent.START)
     log.flush()
-    log.line(Decision.STOP)
+    log.line(LogEvent.STOP)
     log.flush()
-    assert log.closed and log.left_out_total == 1
+    assert log.closed and log.dropped_total == 1
 
 
 LOG = """
--- a/tests/test_idle_box.py
+++ b/tests/test_idle_box.py
@@ -12,7 +12,7 @@
 from stairquay.core.clock import ClockOffset
 from stairquay.core.row import Row
 from stairquay.serving.app import box_parts
-from stairquay.serving.decisions import DecisionLog
+from stairquay.serving.event_log import EventLog
 from stairquay.serving.following import apply_endpoints, apply_operators
 from stairquay.serving.links import Links
 from stairquay.serving.messages import EndpointsRequest, OperatorsRequest, ViewsRequest
@@ -97,7 +97,7 @@
     loop = CountingLoop()
 
     async def scenario() -> float:
-        state = BoxState(settings, DecisionLog(settings.id, write=len))
+        state = BoxState(settings, EventLog(settings.id, write=len))
         surroundings = Surroundings(HeldFeeds(), Rows(), None, None, None, "", None, HeldCrashes())
         links, router = Links(state), RouterPart(state, Random(1))
         notices = Notices(state, links, router)
