--- a/stairquay/serving/event_log.py
+++ b/stairquay/serving/event_log.py
@@ -1,7 +1,6 @@
-"""Structured logs: one JSON object a line for each decision, bounded in volume, never in the way.
+"""Structured event log: one JSON object per line on standard output, rate-limited and non-blocking.
 
-Lines wait in a queue of fixed size and are written when standard output takes them. A reader that stops
-reading delays nothing: what does not fit is left out, counted, and told in a line and a metric.
+Lines that exceed the rate limit or the queue are dropped, counted, and reported in a line and a metric.
 """
 
 import asyncio
@@ -19,23 +18,23 @@
 from stairquay.serving.waking import Changes
 
 MAX_QUEUED_LINES = 4_000
-"""Lines that wait for the writer: about four seconds of a box's decisions at 1,000 a second."""
+"""Most lines that wait to be written."""
 
 MAX_LINES_PER_S = 400
-"""Lines of one kind in a second; a busy box makes about 100 of the most frequent kind."""
+"""Most lines of one kind per second."""
 
 FLUSH_INTERVAL_S = 0.2
-"""Seconds between two writes: fewer system calls, and a reader still sees lines at once."""
+"""Seconds for which lines are batched before a write."""
 
 CHUNK_BYTES = 32_768
-"""Bytes from which lines are handed to one write."""
+"""Size at which a batch of lines is passed to one write."""
 
 MAX_TEXT_CHARS = 200
-"""Longest text in a line, in characters."""
+"""Length to which string values are truncated."""
 
 
 class LogEvent(str, Enum):
-    """The closed list of kinds of lines."""
+    """Kinds of log lines."""
 
     START = "start"
     STOP = "stop"
@@ -66,16 +65,16 @@
 
 
 NonBlockingWrite = Callable[[bytes], int]
-"""Writes some of the bytes and returns how many; raises BlockingIOError where it would wait."""
+"""Writes some of the bytes and returns how many; raises BlockingIOError if it would block."""
 
 
 def write_standard_output(data: bytes) -> int:
-    """Write to standard output without waiting for its reader."""
+    """Write to standard output, which `EventLog.run` makes non-blocking."""
     return os.write(1, data)
 
 
 class EventLog:
-    """Takes lines, and writes them from time to time."""
+    """Queues log lines and writes them in batches."""
 
     def __init__(self, box: str, write: NonBlockingWrite = write_standard_output) -> None:
         self.box = box
@@ -90,7 +89,7 @@
         self.wakeup = Changes()
 
     def line(self, kind: LogEvent, request: str = "", **fields: Any) -> None:
-        """Log one decision. `inputs` are what decided it, with ages in seconds or versions."""
+        """Queue one log line with the given fields, or drop it if its kind is over the rate limit."""
         if not self._within_rate(kind):
             self._drop(kind)
             return
@@ -105,7 +104,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what standard output takes now."""
+        """Write as much as standard output takes without blocking."""
         self._report_dropped()
         while not self.closed and (self.unwritten or self.lines):
             if not self.unwritten:
@@ -115,7 +114,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody can read the lines any more, and there is nowhere else to say so.
+                # The reader is gone, so that the error cannot be logged either.
                 self.closed = True
                 return
             self.unwritten = self.unwritten[written:]
