--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -28,7 +28,7 @@
     record_prompt,
     record_sent,
 )
-from stairquay.serving.refusals import RETRY_AFTER_S, all_held_back, overloaded, truthful
+from stairquay.serving.refusals import RETRY_AFTER_S, all_throttled, overloaded, reconcile_status
 from stairquay.serving.relay import cut, read_whole, relay_stream, whole_response
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import is_resting, note_tried, take_statement
@@ -316,7 +316,7 @@
             reply, body = progress.kept_reply
             record_given_up(self.state, job, "endpoint_error", progress.ran, refusal)
             return Ok(whole_response(reply, body))
-        return Err(truthful(refusal, progress.ran))
+        return Err(reconcile_status(refusal, progress.ran))
 
 
 def _may_wait(job: Job, come_back_s: float) -> bool:
@@ -328,7 +328,7 @@
 def _no_endpoint(progress: Progress, come_back_s: float | None) -> Refusal:
     if come_back_s is None:
         return Refusal(ErrorKind.NO_ENDPOINT, progress.ran)
-    return all_held_back(come_back_s, progress.ran)
+    return all_throttled(come_back_s, progress.ran)
 
 
 def _outcome(response: web.StreamResponse | None, progress: Progress) -> Outcome:
