--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -25,10 +25,10 @@
 from stairquay.serving.following import follow_endpoints, follow_operators
 from stairquay.serving.front import Front
 from stairquay.serving.links import Links
+from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.notices import Notices
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import Surroundings
-from stairquay.serving.routing import RouterPart
 from stairquay.serving.settings import BoxSettings
 from stairquay.serving.sharing import SharedFeeds
 from stairquay.serving.state import BoxState
@@ -71,7 +71,7 @@
     surroundings = open_surroundings()
     chance = random.Random()
     links = Links(state)
-    router = RouterPart(state, chance)
+    router = LocalRouter(state, chance)
     notices = Notices(state, links, router)
     chooser = Chooser(state, links, router, notices, chance)
     crashes = CrashWatch(state, surroundings.peers)
@@ -99,7 +99,7 @@
     state: BoxState,
     surroundings: Surroundings,
     links: Links,
-    router: RouterPart,
+    router: LocalRouter,
     notices: Notices,
     chance: random.Random,
 ) -> dict[str, Work]:
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -21,10 +21,10 @@
 from stairquay.serving.event_log import LogEvent
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.links import Links
+from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
 from stairquay.serving.notices import Notices
 from stairquay.serving.pacing import come_back_s, count_sent
-from stairquay.serving.routing import RouterPart
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import limit_of, rests_of
@@ -50,7 +50,7 @@
     """Chooses the endpoint of each request: by itself, or by asking a router."""
 
     def __init__(
-        self, state: BoxState, links: Links, part: RouterPart, notices: Notices, random: Random
+        self, state: BoxState, links: Links, part: LocalRouter, notices: Notices, random: Random
     ) -> None:
         self.state = state
         self.links = links
@@ -100,7 +100,7 @@
                 return best
         return best
 
-    def was_read(self, choice: Choice) -> None:
+    def prefill_finished(self, choice: Choice) -> None:
         """Take in that an engine has read a prompt: its answer begins."""
         router = next((item for item in self.state.routers if item.id == choice.router), None)
         if router is not None:
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -273,7 +273,7 @@
         if placement is None or job.call.prompt is None:
             return
         record_prompt(self.state, job, placement)
-        self.chooser.was_read(begun.choice)
+        self.chooser.prefill_finished(begun.choice)
 
     def _failed(self, job: Job, begun: Begun, progress: Progress, failure: SendFailure) -> None:
         """Take in a failed attempt."""
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/local_router.py
@@ -46,25 +46,25 @@
 from stairquay.serving.state import BoxState
 from stairquay.serving.telling import statement_told, take_told, told_statements
 
-REVIEW_S = 0.25
+ROLE_CHECK_INTERVAL_S = 0.25
 """Seconds between two looks at whether this box is a router, and of which engines."""
 
-PLACED_S = 20.0
+PLACEMENT_TTL_S = 20.0
 """Seconds after which a placed prompt counts as ended without a notice: above the usual time limits
 of routes, for boxes that ended before they could tell."""
 
-READ_AGAIN_S = 0.05
+PREFILL_POLL_S = 0.05
 """Seconds after which a sender asks again whether a part has been read that its prompt needs."""
 
-READING_S = 1.0
+PREFILL_TIMEOUT_S = 1.0
 """Seconds for which an engine is believed to be reading a prompt: later, something has gone wrong with it."""
 
-WORTH_WAITING_TOKENS = 2_000
+MIN_SHARED_PREFILL_TOKENS = 2_000
 """Fewest tokens being read for another prompt that a prompt waits for."""
 
 
 @dataclass(frozen=True)
-class Placed:
+class PlacedPrompt:
     """A prompt placed on an endpoint: when, how long the endpoint reads it, and how many tokens it holds.
 
     held: what is believed of the endpoint's life that got it. shared: the parts that other prompts may share,
@@ -73,51 +73,53 @@
     """
 
     at: float
-    held: EndpointState
-    reading_s: float
+    endpoint_state: EndpointState
+    expected_prefill_s: float
     tokens: int
     address: str = ""
-    shared: tuple[tuple[Key, int], ...] = ()
-    paced: bool = False
+    shared_parts: tuple[tuple[Key, int], ...] = ()
+    rate_limited: bool = False
 
 
-class RouterPart:
+class LocalRouter:
     """Serves other boxes while this box is a router."""
 
     def __init__(self, state: BoxState, random: Random) -> None:
         self.state = state
         self.random = random
-        self.placed_by_ticket: dict[str, Placed] = {}
-        self.reader_by_key: dict[Key, str] = {}
+        self.placed_by_ticket: dict[str, PlacedPrompt] = {}
+        self.prefill_ticket_by_key: dict[Key, str] = {}
         self.server: grpc.aio.Server | None = None
 
     async def run(self) -> None:
         """Serve as long as this box is a router, until cancelled."""
         try:
             while True:
-                await self._review()
+                await self._update_role()
                 if self.state.routes or self.server is not None or self.placed_by_ticket:
-                    await asyncio.sleep(REVIEW_S)
+                    await asyncio.sleep(ROLE_CHECK_INTERVAL_S)
                 else:
                     await self.state.changed.until(lambda: self.state.routes)
         finally:
             await self._close()
 
-    def place(self, asked: PlaceRequest) -> PlaceReply:
+    def place(self, request: PlaceRequest) -> PlaceReply:
         """Choose an engine for a prompt, and count it there until the box that asked says that it ended."""
         now = monotonic()
-        take_told(self.state, asked.said, now)
-        rests_s = {item.endpoint: item.rest_s for item in asked.said if item.rest_s > 0}
-        choice = self._choose(asked, rests_s)
+        take_told(self.state, request.said, now)
+        rests_s = {item.endpoint: item.rest_s for item in request.said if item.rest_s > 0}
+        choice = self._choose(request, rests_s)
         if choice is None or choice.placement is None:
-            soonest_s = come_back_s(self.state, asked.service, asked.tried, rests_s, now, self.random)
-            return PlaceReply(come_back_s=soonest_s or 0.0)
+            earliest_retry_s = come_back_s(
+                self.state, request.service, request.tried, rests_s, now, self.random
+            )
+            return PlaceReply(come_back_s=earliest_retry_s or 0.0)
         said = statement_told(choice.endpoint, self.state.of(choice.endpoint), now)
-        given_up = asked.most_backlog_s is not None and choice.backlog_s > asked.most_backlog_s
-        if not given_up and asked.may_wait and self._read_soon(choice, asked):
-            return PlaceReply(endpoint=choice.endpoint.id, version=choice.version, again_s=READ_AGAIN_S)
-        if not given_up:
-            self._count(asked, choice)
+        rejected = request.most_backlog_s is not None and choice.backlog_s > request.most_backlog_s
+        if not rejected and request.may_wait and self._awaits_shared_prefill(choice, request):
+            return PlaceReply(endpoint=choice.endpoint.id, version=choice.version, again_s=PREFILL_POLL_S)
+        if not rejected:
+            self._record_placement(request, choice)
         placement = choice.placement
         return PlaceReply(
             endpoint=choice.endpoint.id,
@@ -135,92 +137,96 @@
             said=said,
         )
 
-    def was_read(self, ticket: str) -> None:
+    def prefill_finished(self, ticket: str) -> None:
         """Take in that an engine has read a prompt, and so keeps its parts."""
         placed = self.placed_by_ticket.get(ticket)
         if placed is None:
             return
-        self._forget_reader(ticket, placed)
-        for (scope, part), tokens in placed.shared:
+        self._forget_prefill(ticket, placed)
+        for (scope, part), tokens in placed.shared_parts:
             self.state.holdings.expect(placed.address, scope, part, tokens)
 
-    def _read_soon(self, choice: Choice, asked: PlaceRequest) -> bool:
+    def _awaits_shared_prefill(self, choice: Choice, request: PlaceRequest) -> bool:
         """Tell whether much of what a prompt would have to read is being read for another one."""
         placement = choice.placement
         assert placement is not None
         now = monotonic()
-        soon = 0
-        for index, part in enumerate(asked.parts[:-1]):
+        shared_tokens = 0
+        for index, part in enumerate(request.parts[:-1]):
             if placement.engine.resident[index] >= part.tokens or placement.fetch_from[index]:
                 continue
-            reader = self.placed_by_ticket.get(self.reader_by_key.get((choice.scope, part.id), ""))
-            if reader is not None and now - reader.at < READING_S:
-                soon += part.tokens
-        return soon >= WORTH_WAITING_TOKENS
-
-    def _forget_reader(self, ticket: str, placed: Placed) -> None:
-        for key, _ in placed.shared:
-            if self.reader_by_key.get(key) == ticket:
-                del self.reader_by_key[key]
+            prefilling = self.placed_by_ticket.get(
+                self.prefill_ticket_by_key.get((choice.scope, part.id), "")
+            )
+            if prefilling is not None and now - prefilling.at < PREFILL_TIMEOUT_S:
+                shared_tokens += part.tokens
+        return shared_tokens >= MIN_SHARED_PREFILL_TOKENS
+
+    def _forget_prefill(self, ticket: str, placed: PlacedPrompt) -> None:
+        for key, _ in placed.shared_parts:
+            if self.prefill_ticket_by_key.get(key) == ticket:
+                del self.prefill_ticket_by_key[key]
 
     def finished(self, ended: Ended) -> None:
         """Take in that a prompt has left its engine, and how."""
         placed = self.placed_by_ticket.pop(ended.ticket, None)
         if placed is not None:
-            self._forget_reader(ended.ticket, placed)
+            self._forget_prefill(ended.ticket, placed)
         if placed is None:
             return
-        held, now = placed.held, monotonic()
-        held.in_flight = max(0, held.in_flight - 1)
+        endpoint_state, now = placed.endpoint_state, monotonic()
+        endpoint_state.in_flight = max(0, endpoint_state.in_flight - 1)
         if ended.outcome in (Outcome.NOT_SENT, Outcome.TURNED_AWAY, Outcome.UNREACHED):
-            held.take_back(placed.reading_s, placed.tokens, placed.at)
-            if placed.paced and ended.outcome != Outcome.TURNED_AWAY:
-                take_back(held)
+            endpoint_state.take_back(placed.expected_prefill_s, placed.tokens, placed.at)
+            if placed.rate_limited and ended.outcome != Outcome.TURNED_AWAY:
+                take_back(endpoint_state)
         if ended.outcome == Outcome.TURNED_AWAY:
-            held.refused_until = now + FULL_PAUSE_S
+            endpoint_state.refused_until = now + FULL_PAUSE_S
         if ended.outcome == Outcome.UNREACHED:
-            held.doubted_at = now
+            endpoint_state.doubted_at = now
         if ended.outcome in (Outcome.DONE, Outcome.FAILED, Outcome.UNREACHED):
-            held.on_outcome(ended.outcome != Outcome.DONE, now)
+            endpoint_state.on_outcome(ended.outcome != Outcome.DONE, now)
 
-    def _choose(self, asked: PlaceRequest, rests_s: dict[str, float]) -> Choice | None:
+    def _choose(self, request: PlaceRequest, rests_s: dict[str, float]) -> Choice | None:
         catalog = self.state.catalog
-        service = None if catalog is None else catalog.services_by_id.get(asked.service)
+        service = None if catalog is None else catalog.services_by_id.get(request.service)
         if catalog is None or service is None:
             return None
-        parts = tuple(Part(part.id, part.tokens) for part in asked.parts)
-        prompt = PromptShape(asked.model, parts, asked.tokens, asked.max_output)
-        wall = WorkspaceRule(asked.wall, isolated=True) if asked.wall else None
-        wanted = Wanted(service, prompt, wall, frozenset(asked.tried), asked.box, rests_s)
+        parts = tuple(Part(part.id, part.tokens) for part in request.parts)
+        prompt = PromptShape(request.model, parts, request.tokens, request.max_output)
+        wall = WorkspaceRule(request.wall, isolated=True) if request.wall else None
+        wanted = Wanted(service, prompt, wall, frozenset(request.tried), request.box, rests_s)
         return choose_and_save(self.state, catalog, wanted, self.random)
 
-    def _count(self, asked: PlaceRequest, choice: Choice) -> None:
+    def _record_placement(self, request: PlaceRequest, choice: Choice) -> None:
         now = monotonic()
         placement = choice.placement
         assert placement is not None
-        self.finished(Ended(asked.ticket, Outcome.NOT_SENT))
-        reading_s = read_s(placement.read, asked.tokens)
+        self.finished(Ended(request.ticket, Outcome.NOT_SENT))
+        expected_prefill_s = read_s(placement.read, request.tokens)
         address = choice.endpoint.address
-        shared = tuple(((choice.scope, part.id), part.tokens) for part in asked.parts[:-1])
-        held = self.state.of(choice.endpoint)
-        paced = count_sent(self.state, choice.endpoint, now, self.random)
-        placed = Placed(now, held, reading_s, asked.tokens, address, shared, paced)
-        self.placed_by_ticket[asked.ticket] = placed
-        for key, _ in shared:
-            self.reader_by_key.setdefault(key, asked.ticket)
-        held.in_flight += 1
-        held.on_placed(placed.reading_s, now)
+        shared_parts = tuple(((choice.scope, part.id), part.tokens) for part in request.parts[:-1])
+        endpoint_state = self.state.of(choice.endpoint)
+        rate_limited = count_sent(self.state, choice.endpoint, now, self.random)
+        placed = PlacedPrompt(
+            now, endpoint_state, expected_prefill_s, request.tokens, address, shared_parts, rate_limited
+        )
+        self.placed_by_ticket[request.ticket] = placed
+        for key, _ in shared_parts:
+            self.prefill_ticket_by_key.setdefault(key, request.ticket)
+        endpoint_state.in_flight += 1
+        endpoint_state.on_placed(placed.expected_prefill_s, now)
         # Kept parts count, too: while the prompt runs they cannot give way to others.
-        held.on_sent(asked.tokens, now)
+        endpoint_state.on_sent(request.tokens, now)
 
-    async def _review(self) -> None:
+    async def _update_role(self) -> None:
         state = self.state
-        mine = state.routes
-        if mine and self.server is None and not state.stopping:
+        is_router = state.routes
+        if is_router and self.server is None and not state.stopping:
             await self._open()
-        if self.server is not None and (not mine or state.stopping):
+        if self.server is not None and (not is_router or state.stopping):
             await self._close()
-        state.routed_engines = self._engines() if mine else frozenset()
+        state.routed_engines = self._engines() if is_router else frozenset()
         self._expire(monotonic())
 
     def _engines(self) -> frozenset[str]:
@@ -237,15 +243,17 @@
             for item in state.fleet.by_id.values()
             if catalog.engine_of(item.service) is not None and not item.leaving
         ]
-        staying = [item for item in engines if item.data_hall not in state.evacuated]
-        away = [item for item in engines if item.data_hall in state.evacuated]
+        active = [item for item in engines if item.data_hall not in state.evacuated]
+        evacuated = [item for item in engines if item.data_hall in state.evacuated]
         own = state.settings.id
-        return engines_of(own, staying, state.placing_routers()) | engines_of(own, away, state.live_routers())
+        return engines_of(own, active, state.placing_routers()) | engines_of(
+            own, evacuated, state.live_routers()
+        )
 
     def _expire(self, now: float) -> None:
         """Stop counting prompts that nobody said a word about for long."""
         for ticket, placed in list(self.placed_by_ticket.items()):
-            if now - placed.at < PLACED_S:
+            if now - placed.at < PLACEMENT_TTL_S:
                 break
             self.finished(Ended(ticket))
 
@@ -268,62 +276,64 @@
         await server.stop(grace=None)
         self.state.log.line(LogEvent.ROUTER, outcome="closed")
 
-    async def _on_place(self, asked: PlaceRequest) -> PlaceReply:
-        return self.place(asked)
+    async def _on_place(self, request: PlaceRequest) -> PlaceReply:
+        return self.place(request)
 
     async def _on_finished(self, notice: FinishedNotice) -> Nothing:
         take_told(self.state, notice.said, monotonic())
         for ticket in notice.read:
-            self.was_read(ticket)
+            self.prefill_finished(ticket)
         for ended in notice.ended:
             self.finished(ended)
         return Nothing()
 
-    async def _on_operators(self, asked: OperatorsRequest) -> OperatorsReply:
-        began_at = monotonic()
-        take_told(self.state, asked.said, began_at)
-        await self._hold(lambda: self._operators_last_s(asked), asked.wait_s)
-        return self._operators_reply(asked, began_at)
+    async def _on_operators(self, request: OperatorsRequest) -> OperatorsReply:
+        received_at = monotonic()
+        take_told(self.state, request.said, received_at)
+        await self._long_poll(lambda: self._operators_valid_for_s(request), request.wait_s)
+        return self._operators_reply(request, received_at)
 
-    async def _on_endpoints(self, asked: EndpointsRequest) -> EndpointsReply:
-        await self._hold(lambda: self._endpoints_last_s(asked), asked.wait_s)
-        return self._endpoints_reply(asked)
+    async def _on_endpoints(self, request: EndpointsRequest) -> EndpointsReply:
+        await self._long_poll(lambda: self._endpoints_valid_for_s(request), request.wait_s)
+        return self._endpoints_reply(request)
 
-    async def _on_views(self, asked: ViewsRequest) -> ViewsReply:
-        began_at = monotonic()
-        take_told(self.state, asked.operators.said, began_at)
+    async def _on_views(self, request: ViewsRequest) -> ViewsReply:
+        received_at = monotonic()
+        take_told(self.state, request.operators.said, received_at)
 
-        def last_s() -> float:
-            return min(self._operators_last_s(asked.operators), self._endpoints_last_s(asked.endpoints))
+        def valid_for_s() -> float:
+            return min(
+                self._operators_valid_for_s(request.operators), self._endpoints_valid_for_s(request.endpoints)
+            )
 
-        await self._hold(last_s, min(asked.operators.wait_s, asked.endpoints.wait_s))
-        operators = self._operators_reply(asked.operators, began_at)
-        return ViewsReply(operators, self._endpoints_reply(asked.endpoints))
+        await self._long_poll(valid_for_s, min(request.operators.wait_s, request.endpoints.wait_s))
+        operators = self._operators_reply(request.operators, received_at)
+        return ViewsReply(operators, self._endpoints_reply(request.endpoints))
 
-    def _operators_last_s(self, asked: OperatorsRequest) -> float:
+    def _operators_valid_for_s(self, request: OperatorsRequest) -> float:
         """Return the seconds for which nothing new can be said, as far as is known now."""
         state = self.state
-        return 0.0 if state.operators_changed > asked.after else state.view_lasts_s(state.view_age())
+        return 0.0 if state.operators_changed > request.after else state.view_lasts_s(state.view_age())
 
-    def _endpoints_last_s(self, asked: EndpointsRequest) -> float:
+    def _endpoints_valid_for_s(self, request: EndpointsRequest) -> float:
         """Return the same for the list of endpoints."""
         state = self.state
-        return 0.0 if state.list_changed > asked.after else state.list_lasts_s(state.list_age())
+        return 0.0 if state.list_changed > request.after else state.list_lasts_s(state.list_age())
 
-    def _operators_reply(self, asked: OperatorsRequest, began_at: float) -> OperatorsReply:
+    def _operators_reply(self, request: OperatorsRequest, received_at: float) -> OperatorsReply:
         state = self.state
         revision = state.operators_revision
-        if state.operators_changed > asked.after:
+        if state.operators_changed > request.after:
             named, evacuated = dict(state.named_by_model), tuple(sorted(state.evacuated))
             changes = OperatorChanges(revision, True, state.catalog, "", named, evacuated=evacuated)
         else:
             changes = OperatorChanges(revision, False)
-        changed, crashes = self._crashes(asked.crashes_known)
+        changed, crashes = self._crashes_since(request.crashes_known)
         now = monotonic()
-        said = told_statements(state, now, frozenset(item.endpoint for item in asked.said))
-        return OperatorsReply(changes, state.view_age(), now - began_at, changed, crashes, said)
+        said = told_statements(state, now, frozenset(item.endpoint for item in request.said))
+        return OperatorsReply(changes, state.view_age(), now - received_at, changed, crashes, said)
 
-    def _crashes(self, known: int) -> tuple[int, CrashesTold | None]:
+    def _crashes_since(self, known: int) -> tuple[int, CrashesTold | None]:
         """Return the revision at which boxes' rows about crashes last changed, and what they tell where that
         is news to the one that asks."""
         quarantine, now = self.state.quarantine, monotonic()
@@ -331,23 +341,23 @@
             return -1, None
         if quarantine.rows_changed == known:
             return known, None
-        told = quarantine.to_pass_on()
+        report = quarantine.to_pass_on()
         crashes = tuple(
             CrashTold(crash.digest, crash.life, now - crash.at, crash.ran_s, crash.events)
-            for crash in told.crashes
+            for crash in report.crashes
         )
-        cleared = tuple((digest, now - at) for digest, at in told.cleared.items())
+        cleared = tuple((digest, now - at) for digest, at in report.cleared.items())
         return quarantine.rows_changed, CrashesTold(crashes, cleared)
 
-    def _endpoints_reply(self, asked: EndpointsRequest) -> EndpointsReply:
+    def _endpoints_reply(self, request: EndpointsRequest) -> EndpointsReply:
         state = self.state
-        if state.list_changed > asked.after:
-            changes = EndpointChanges(state.list_revision, True, self._listed())
+        if state.list_changed > request.after:
+            changes = EndpointChanges(state.list_revision, True, self._listed_endpoints())
         else:
             changes = EndpointChanges(state.list_revision, False)
         return EndpointsReply(changes, state.list_age())
 
-    def _listed(self) -> tuple[Endpoint, ...]:
+    def _listed_endpoints(self) -> tuple[Endpoint, ...]:
         """Return the list of endpoints, with the time for which cold ones are cold from now on."""
         now = monotonic()
 
@@ -358,8 +368,8 @@
 
         return tuple(as_of_now(item) for item in self.state.fleet.live())
 
-    async def _hold(self, lasts_s: Callable[[], float], limit_s: float) -> None:
+    async def _long_poll(self, valid_for_s: Callable[[], float], limit_s: float) -> None:
         """Hold a question as long as the answer lasts that it would get now, at most so long."""
         end = monotonic() + limit_s
-        while (left_s := min(lasts_s(), end - monotonic())) > 0:
+        while (left_s := min(valid_for_s(), end - monotonic())) > 0:
             await self.state.changed.wait(left_s)
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -10,8 +10,8 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.routers import Member
 from stairquay.serving.links import Links
+from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import Ended, FinishedNotice
-from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
 from stairquay.serving.telling import told_statements
 from stairquay.serving.waking import Changes
@@ -33,7 +33,7 @@
 class Notices:
     """What routers have yet to be told."""
 
-    def __init__(self, state: BoxState, links: Links, part: RouterPart) -> None:
+    def __init__(self, state: BoxState, links: Links, part: LocalRouter) -> None:
         self.state = state
         self.links = links
         self.part = part
@@ -83,7 +83,7 @@
     def add_read(self, router: Member, ticket: str) -> None:
         """Have a router told that a prompt has been read; one that is not told in time hears it no more."""
         if router.id == self.state.settings.id:
-            self.part.was_read(ticket)
+            self.part.prefill_finished(ticket)
             return
         self.ended_by_router.setdefault(router, [])
         self.read_by_router.setdefault(router, []).append(ticket)
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -12,10 +12,10 @@
 from stairquay.core.routers import Member
 from stairquay.serving.choosing import Choice, Wanted, choose
 from stairquay.serving.following import AGAIN_S, ROUTED_AGAIN_S, SINGLE_MISSES, again_s
+from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceRequest
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import EngineReport
-from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
 from stairquay.serving.weighing import best_sources, usable_sources
 from tests.states import box_state
@@ -109,7 +109,7 @@
     state = router_state(2)
     state.holdings.expect("10.0.1.0:1", "/m/0", "aa", 500)
     state.holdings.expect("10.0.1.0:1", "/m/0", "bb", 300)
-    part = RouterPart(state, CHANCE)
+    part = LocalRouter(state, CHANCE)
     parts = (PartShape("aa", 500), PartShape("bb", 300))
     for number in range(3):
         part.place(PlaceRequest(f"t{number}", "b-2", "llm", "m", parts, 800, 20, "", ("e-1",)))
--- a/tests/test_crash_rows.py
+++ b/tests/test_crash_rows.py
@@ -12,7 +12,7 @@
 from stairquay.core.crashes import KEPT_S, Crash
 from stairquay.core.row import Row
 from stairquay.serving.crash_rows import CrashRows, decode
-from stairquay.serving.routing import RouterPart
+from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.state import BoxState
 from tests.states import box_state
 
@@ -138,11 +138,11 @@
         state = box_state()
         state.routers = (state.member,)
         table = HeldTable()
-        rows, router = CrashRows(state, table), RouterPart(state, Random(1))
+        rows, router = CrashRows(state, table), LocalRouter(state, Random(1))
         following = asyncio.create_task(rows.follow())
         await asyncio.sleep(0.1)
         while table.questions < 4:
-            assert router._crashes(-1)[0] == 1
+            assert router._crashes_since(-1)[0] == 1
             await asyncio.sleep(0.02)
         following.cancel()
 
--- a/tests/test_idle_box.py
+++ b/tests/test_idle_box.py
@@ -15,10 +15,10 @@
 from stairquay.serving.event_log import EventLog
 from stairquay.serving.following import apply_endpoints, apply_operators
 from stairquay.serving.links import Links
+from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import EndpointsRequest, OperatorsRequest, ViewsRequest
 from stairquay.serving.notices import Notices
 from stairquay.serving.ports import EndpointChanges, OperatorChanges, Surroundings
-from stairquay.serving.routing import RouterPart
 from stairquay.serving.settings import BoxSettings
 from stairquay.serving.state import BoxState
 from tests.states import box_state
@@ -99,7 +99,7 @@
     async def scenario() -> float:
         state = BoxState(settings, EventLog(settings.id, write=len))
         surroundings = Surroundings(HeldFeeds(), Rows(), None, None, None, "", None, HeldCrashes())
-        links, router = Links(state), RouterPart(state, Random(1))
+        links, router = Links(state), LocalRouter(state, Random(1))
         notices = Notices(state, links, router)
         parts = box_parts(state, surroundings, links, router, notices, Random(1))
         tasks = [asyncio.create_task(part()) for part in parts.values()]
@@ -138,7 +138,7 @@
         state = box_state()
         apply_operators(state, OperatorChanges(1, True, Catalog(1)), monotonic())
         apply_endpoints(state, EndpointChanges(1, True, ()), monotonic())
-        part = RouterPart(state, Random(1))
+        part = LocalRouter(state, Random(1))
         asked = ViewsRequest(OperatorsRequest(1, 0.4), EndpointsRequest(1, 0.4))
         before = loop.fired
         replies = await asyncio.gather(*(part._on_views(asked) for _ in range(HELD)))
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -11,6 +11,7 @@
 from stairquay.core.routers import Member
 from stairquay.serving.cold import RETURN_CAUTION_S, cold_for_s
 from stairquay.serving.following import apply_endpoints, apply_operators
+from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import (
     Ended,
     EndpointsRequest,
@@ -23,7 +24,6 @@
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.pacing import COLD_RETRY_S, come_back_s, wait_s
 from stairquay.serving.ports import EndpointChanges, EngineReport, OperatorChanges
-from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
 from tests.states import box_state
 
@@ -50,12 +50,12 @@
     apply_operators(state, OperatorChanges(revision, whole, **changes), monotonic())
 
 
-def reply_to(part: RouterPart, ticket: str) -> PlaceReply:
+def reply_to(part: LocalRouter, ticket: str) -> PlaceReply:
     request = PlaceRequest(ticket, "b-2", "llm", "m", (PartShape("aa", 500),), 500, 20, "", ())
     return part.place(request)
 
 
-def place(part: RouterPart, ticket: str) -> str:
+def place(part: LocalRouter, ticket: str) -> str:
     return reply_to(part, ticket).endpoint
 
 
@@ -115,7 +115,7 @@
 def test_what_ends_of_an_old_life_is_not_counted_off_the_new_one():
     state = state_with(ENGINE)
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
-    part = RouterPart(state, CHANCE)
+    part = LocalRouter(state, CHANCE)
     assert place(part, "old") == "e"
     listed(state, replace(ENGINE, born=2_000, sequence=1))
     assert place(part, "new") == "e"
@@ -147,7 +147,7 @@
 def test_a_router_places_on_a_cold_engine_what_it_bears_and_then_nothing():
     state = state_with(replace(ENGINE, cold=True, cold_s=START_S))
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
-    part = RouterPart(state, CHANCE)
+    part = LocalRouter(state, CHANCE)
     replies = [reply_to(part, f"t{number}") for number in range(40)]
     placed = [reply.endpoint for reply in replies]
     assert 0 < placed.count("e") <= LIMIT.per_s
@@ -188,7 +188,7 @@
     operators(state, 11, returned=("hall-a",))
     assert RETURN_CAUTION_S - 0.1 < cold_for_s(state, ENGINE, monotonic()) <= RETURN_CAUTION_S
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
-    part = RouterPart(state, CHANCE)
+    part = LocalRouter(state, CHANCE)
     assert place(part, "back") == "e"
     operators(state, 12, evacuated=("hall-a",))
     assert place(part, "again") == ""
@@ -197,7 +197,7 @@
 def test_a_router_passes_on_which_halls_are_evacuated_and_how_long_engines_are_cold():
     state = state_with(replace(ENGINE, cold=True, cold_s=START_S))
     operators(state, 10, evacuated=("hall-a",))
-    part = RouterPart(state, CHANCE)
+    part = LocalRouter(state, CHANCE)
     changes = part._operators_reply(OperatorsRequest(9, 0.0), monotonic()).changes
     assert changes.whole and changes.evacuated == ("hall-a",)
     state.of(ENGINE).cold_until = monotonic() + 1.0
@@ -218,7 +218,7 @@
     owned = {}
     for router in state.routers:
         state.settings = replace(state.settings, id=router.id, data_hall=router.data_hall)
-        owned[router.data_hall] = RouterPart(state, CHANCE)._engines()
+        owned[router.data_hall] = LocalRouter(state, CHANCE)._engines()
     assert owned["a"] == {f"e-a-{n}" for n in range(8)}, "watched on, for when the hall returns"
     assert owned["b"] | owned["c"] == {item.id for item in engines if item.data_hall != "a"}
     operators(state, 11, evacuated=("b", "c"))
--- a/tests/test_reading_once.py
+++ b/tests/test_reading_once.py
@@ -3,6 +3,7 @@
 import asyncio
 from random import Random
 
+from stairquay.serving.local_router import PREFILL_TIMEOUT_S, LocalRouter
 from stairquay.serving.messages import (
     Ended,
     FinishedNotice,
@@ -11,7 +12,6 @@
     PlaceReply,
     PlaceRequest,
 )
-from stairquay.serving.routing import READING_S, RouterPart
 from tests.many_boxes import ROUTERS, routed, routing
 from tests.site import SCOPE, eventually
 from tests.test_choosing import router_state
@@ -25,43 +25,43 @@
 
 
 def test_a_prompt_waits_for_a_part_that_is_being_read_and_then_reads_its_own_part_alone():
-    part = RouterPart(router_state(4), Random(1))
+    part = LocalRouter(router_state(4), Random(1))
     first = part.place(question("t0", may_wait=True))
     assert first.again_s == 0 and first.read == 8_400
     assert part.place(question("t1", may_wait=True)).again_s > 0
-    part.was_read("t0")
+    part.prefill_finished("t0")
     later = part.place(question("t1", may_wait=True))
     assert (later.again_s, later.reused + later.fetched, later.read) == (0, 8_300, 100)
 
 
 def test_a_prompt_that_waits_counts_nowhere():
     state = router_state(1)
-    part = RouterPart(state, Random(1))
+    part = LocalRouter(state, Random(1))
     part.place(question("t0", may_wait=True))
     part.place(question("t1", may_wait=True))
     assert list(part.placed_by_ticket) == ["t0"] and state.endpoints_by_id["e-0"].in_flight == 1
 
 
 def test_nobody_waits_who_must_not_or_for_little_or_for_what_was_not_read():
-    part = RouterPart(router_state(4), Random(1))
+    part = LocalRouter(router_state(4), Random(1))
     part.place(question("t0"))
     assert part.place(question("t1")).again_s == 0
     part.finished(Ended("t1"))
     small = (PartShape("aa", 8_000), PartShape("cc", 300), PartShape("own", 100))
-    part.was_read("t0")
+    part.prefill_finished("t0")
     assert part.place(question("t2", parts=small, may_wait=True)).again_s == 0
     for outcome in (Outcome.NOT_SENT, Outcome.TURNED_AWAY, Outcome.FAILED, Outcome.UNREACHED):
-        other = RouterPart(router_state(1), Random(1))
+        other = LocalRouter(router_state(1), Random(1))
         other.place(question("t0"))
         other.finished(Ended("t0", outcome))
         assert other.place(question("t1", may_wait=True)).again_s == 0
 
 
 def test_nobody_waits_long_for_an_engine_that_should_have_read_by_now(monkeypatch):
-    part = RouterPart(router_state(4), Random(1))
+    part = LocalRouter(router_state(4), Random(1))
     part.place(question("t0"))
     placed = part.placed_by_ticket["t0"]
-    monkeypatch.setattr("stairquay.serving.routing.monotonic", lambda: placed.at + READING_S)
+    monkeypatch.setattr("stairquay.serving.local_router.monotonic", lambda: placed.at + PREFILL_TIMEOUT_S)
     assert part.place(question("t1", may_wait=True)).again_s == 0
 
 
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -8,10 +8,10 @@
 from stairquay.core.routers import Member
 from stairquay.serving.following import apply_operators
 from stairquay.serving.links import Links
+from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import Ended, FinishedNotice, Nothing, OperatorsRequest
 from stairquay.serving.notices import Notices
 from stairquay.serving.ports import OperatorChanges
-from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
 from stairquay.serving.waking import Changes
 from tests.site import eventually
@@ -97,7 +97,7 @@
         state.routers = (first, second)
         channels = Channels(state)
         channels.silent.add("two")
-        notices = Notices(state, channels, RouterPart(state, None))
+        notices = Notices(state, channels, LocalRouter(state, None))
         telling = asyncio.create_task(notices.run())
         await asyncio.sleep(0.05)
         notices.add(first, Ended("t-1"))
@@ -115,7 +115,7 @@
 def test_a_held_question_is_answered_as_soon_as_there_is_news_or_the_view_gets_too_old():
     async def scenario():
         state = box_state()
-        part = RouterPart(state, None)
+        part = LocalRouter(state, None)
         apply_operators(state, OperatorChanges(1, True, versions_by_model={"m": 1}), monotonic())
         asking = asyncio.create_task(part._on_operators(OperatorsRequest(1, 5.0)))
         await asyncio.sleep(0.05)
