--- a/stairquay/serving/local_router.py
+++ b/stairquay/serving/local_router.py
@@ -1,7 +1,6 @@
-"""The router's part of a box: decides for other boxes where prompts run, and passes its views on.
+"""Places prompts for other boxes and forwards them its views of the platform, while this box is a router.
 
-It runs on every box and serves only while the box is among the routers. What it counts and answers concerns
-speed alone: each box checks keys, endpoints and versions itself before it sends anything.
+Its answers affect latency only: the sending box checks keys, endpoints and versions itself.
 """
 
 import asyncio
@@ -47,29 +46,28 @@
 from stairquay.serving.telling import statement_told, take_told, told_statements
 
 ROLE_CHECK_INTERVAL_S = 0.25
-"""Seconds between two looks at whether this box is a router, and of which engines."""
+"""Seconds between two updates of this box's role and its share of the engines."""
 
 PLACEMENT_TTL_S = 20.0
-"""Seconds after which a placed prompt counts as ended without a notice: above the usual time limits
-of routes, for boxes that ended before they could tell."""
+"""Seconds after which a placed prompt counts as ended although its box sent no notice. Longer than the usual
+time limits of routes."""
 
 PREFILL_POLL_S = 0.05
-"""Seconds after which a sender asks again whether a part has been read that its prompt needs."""
+"""Seconds after which a sender asks again while a part that its prompt shares is being prefilled."""
 
 PREFILL_TIMEOUT_S = 1.0
-"""Seconds for which an engine is believed to be reading a prompt: later, something has gone wrong with it."""
+"""Seconds after which an unfinished prefill is no longer waited for."""
 
 MIN_SHARED_PREFILL_TOKENS = 2_000
-"""Fewest tokens being read for another prompt that a prompt waits for."""
+"""Fewest tokens in prefill for other prompts that are worth waiting for."""
 
 
 @dataclass(frozen=True)
 class PlacedPrompt:
-    """A prompt placed on an endpoint: when, how long the endpoint reads it, and how many tokens it holds.
+    """A prompt placed on an endpoint.
 
-    held: what is believed of the endpoint's life that got it. shared: the parts that other prompts may share,
-    with their tokens; the endpoint's address will keep them. paced: it was counted as one of the few that the
-    endpoint takes, as its router.
+    at: when, in monotonic seconds. shared_parts: parts that other prompts may reuse, with their tokens.
+    rate_limited: it was counted against the endpoint's rate limit.
     """
 
     at: float
@@ -82,7 +80,7 @@
 
 
 class LocalRouter:
-    """Serves other boxes while this box is a router."""
+    """Places prompts and serves views while this box is a router."""
 
     def __init__(self, state: BoxState, random: Random) -> None:
         self.state = state
@@ -92,7 +90,7 @@
         self.server: grpc.aio.Server | None = None
 
     async def run(self) -> None:
-        """Serve as long as this box is a router, until cancelled."""
+        """Serve whenever this box is a router, until cancelled."""
         try:
             while True:
                 await self._update_role()
@@ -104,7 +102,7 @@
             await self._close()
 
     def place(self, request: PlaceRequest) -> PlaceReply:
-        """Choose an engine for a prompt, and count it there until the box that asked says that it ended."""
+        """Choose an engine for a prompt, and count it there until the sender reports its end."""
         now = monotonic()
         take_told(self.state, request.said, now)
         rests_s = {item.endpoint: item.rest_s for item in request.said if item.rest_s > 0}
@@ -138,7 +136,7 @@
         )
 
     def prefill_finished(self, ticket: str) -> None:
-        """Take in that an engine has read a prompt, and so keeps its parts."""
+        """Expect the shared parts of a prompt in its engine's cache from now on."""
         placed = self.placed_by_ticket.get(ticket)
         if placed is None:
             return
@@ -147,7 +145,7 @@
             self.state.holdings.expect(placed.address, scope, part, tokens)
 
     def _awaits_shared_prefill(self, choice: Choice, request: PlaceRequest) -> bool:
-        """Tell whether much of what a prompt would have to read is being read for another one."""
+        """Return whether other prompts' prefills will soon provide enough of this prompt's parts."""
         placement = choice.placement
         assert placement is not None
         now = monotonic()
@@ -168,7 +166,7 @@
                 del self.prefill_ticket_by_key[key]
 
     def finished(self, ended: Ended) -> None:
-        """Take in that a prompt has left its engine, and how."""
+        """Stop counting a prompt on its engine, and record the outcome."""
         placed = self.placed_by_ticket.pop(ended.ticket, None)
         if placed is not None:
             self._forget_prefill(ended.ticket, placed)
@@ -216,7 +214,7 @@
             self.prefill_ticket_by_key.setdefault(key, request.ticket)
         endpoint_state.in_flight += 1
         endpoint_state.on_placed(placed.expected_prefill_s, now)
-        # Kept parts count, too: while the prompt runs they cannot give way to others.
+        # Cached parts count as well, since they can't be evicted while the prompt runs.
         endpoint_state.on_sent(request.tokens, now)
 
     async def _update_role(self) -> None:
@@ -230,10 +228,9 @@
         self._expire(monotonic())
 
     def _engines(self) -> frozenset[str]:
-        """Return the engines that this router routes for: those of suspected routers are shared out.
+        """Return the engines assigned to this router, with its share of those of suspected routers.
 
-        Those of evacuated data halls get nothing. The routers that had them go on watching them, so that what
-        they keep is known when their hall returns.
+        Engines in evacuated data halls stay assigned, so that their caches are known when the hall returns.
         """
         catalog, state = self.state.catalog, self.state
         if catalog is None:
@@ -251,7 +248,7 @@
         )
 
     def _expire(self, now: float) -> None:
-        """Stop counting prompts that nobody said a word about for long."""
+        """Stop counting prompts whose time to live has passed."""
         for ticket, placed in list(self.placed_by_ticket.items()):
             if now - placed.at < PLACEMENT_TTL_S:
                 break
@@ -311,12 +308,12 @@
         return ViewsReply(operators, self._endpoints_reply(request.endpoints))
 
     def _operators_valid_for_s(self, request: OperatorsRequest) -> float:
-        """Return the seconds for which nothing new can be said, as far as is known now."""
+        """Return the seconds until the view of operators' rows needs a new reply, 0 if it has changed."""
         state = self.state
         return 0.0 if state.operators_changed > request.after else state.view_lasts_s(state.view_age())
 
     def _endpoints_valid_for_s(self, request: EndpointsRequest) -> float:
-        """Return the same for the list of endpoints."""
+        """Return the seconds until the list of endpoints needs a new reply, 0 if it has changed."""
         state = self.state
         return 0.0 if state.list_changed > request.after else state.list_lasts_s(state.list_age())
 
@@ -334,8 +331,7 @@
         return OperatorsReply(changes, state.view_age(), now - received_at, changed, crashes, said)
 
     def _crashes_since(self, known: int) -> tuple[int, CrashesTold | None]:
-        """Return the revision at which boxes' rows about crashes last changed, and what they tell where that
-        is news to the one that asks."""
+        """Return the revision of the last change to the crash rows, and the crashes if that isn't `known`."""
         quarantine, now = self.state.quarantine, monotonic()
         if quarantine.rows_revision < 0 or now - quarantine.rows_asked_at > STALE_S:
             return -1, None
@@ -358,7 +354,7 @@
         return EndpointsReply(changes, state.list_age())
 
     def _listed_endpoints(self) -> tuple[Endpoint, ...]:
-        """Return the list of endpoints, with the time for which cold ones are cold from now on."""
+        """Return the live endpoints, with the seconds for which cold ones remain cold."""
         now = monotonic()
 
         def as_of_now(endpoint: Endpoint) -> Endpoint:
@@ -369,7 +365,7 @@
         return tuple(as_of_now(item) for item in self.state.fleet.live())
 
     async def _long_poll(self, valid_for_s: Callable[[], float], limit_s: float) -> None:
-        """Hold a question as long as the answer lasts that it would get now, at most so long."""
+        """Wait until the reply would differ or expire, at most `limit_s` seconds."""
         end = monotonic() + limit_s
         while (left_s := min(valid_for_s(), end - monotonic())) > 0:
             await self.state.changed.wait(left_s)
