--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -31,9 +31,9 @@
 SWITCHES: dict[str, Switch] = {
     "waiting": Switch(
         "waiting for parts that are being read",
-        SERVING + "asking.py",
-        "WAIT_SHARE = 0.35",
-        "WAIT_SHARE = 0.0",
+        SERVING + "endpoint_chooser.py",
+        "MAX_PREFILL_WAIT_SHARE = 0.35",
+        "MAX_PREFILL_WAIT_SHARE = 0.0",
     ),
     "shedding": Switch(
         "refusing the least urgent when engines are behind",
@@ -91,7 +91,7 @@
     ),
     "second_router": Switch(
         "asking a second router where the first is behind",
-        SERVING + "asking.py",
+        SERVING + "endpoint_chooser.py",
         "ROUTERS_ASKED = 2",
         "ROUTERS_ASKED = 1",
     ),
--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -15,12 +15,12 @@
 from stairquay.adapters.program import Tasks, being_cancelled, listen, until_stopped, wait_until
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.mistake import Mistake
-from stairquay.serving.asking import Chooser
 from stairquay.serving.boxes import BoxList
 from stairquay.serving.cold import cold_for_s
 from stairquay.serving.crash_rows import CrashRows
 from stairquay.serving.crashes import CrashWatch
 from stairquay.serving.dispatch import Dispatcher
+from stairquay.serving.endpoint_chooser import Chooser
 from stairquay.serving.event_log import EventLog, LogEvent
 from stairquay.serving.following import follow_endpoints, follow_operators
 from stairquay.serving.front import Front
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -11,10 +11,10 @@
 from stairquay.core.call import Dispatch
 from stairquay.core.catalog import urgency
 from stairquay.core.errors import ErrorKind, Ran, Refusal
-from stairquay.serving.asking import Chooser
 from stairquay.serving.choosing import Choice
 from stairquay.serving.crashes import CrashWatch
 from stairquay.serving.endpoint import FULL_PAUSE_S
+from stairquay.serving.endpoint_chooser import Chooser
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.messages import Outcome
@@ -76,11 +76,11 @@
             most_backlog_s = _most_backlog_s(job, progress)
             choice = await self.chooser.choose(job, progress, most_backlog_s)
             if choice is None:
-                come_back_s = self.chooser.come_back_s(job, progress)
-                if come_back_s is not None and _may_wait(job, come_back_s):
-                    await asyncio.sleep(come_back_s)
+                retry_after_s = self.chooser.retry_after_s(job, progress)
+                if retry_after_s is not None and _may_wait(job, retry_after_s):
+                    await asyncio.sleep(retry_after_s)
                     continue
-                refusal = self._told_when(job, _no_endpoint(progress, come_back_s))
+                refusal = self._told_when(job, _no_endpoint(progress, retry_after_s))
                 return self._given_up(job, progress, refusal, request)
             outcome = Outcome.NOT_SENT
             try:
@@ -111,7 +111,7 @@
 
     def _told_when(self, job: Job, refusal: Refusal) -> Refusal:
         """Return a refusal that gives the end of the rest, where no endpoint takes anything before that."""
-        rest_s = None if refusal.kind == ErrorKind.OVERLOADED else self.chooser.all_rest_s(job)
+        rest_s = None if refusal.kind == ErrorKind.OVERLOADED else self.chooser.retry_after_rest_s(job)
         return refusal if rest_s is None else replace(refusal, retry_after_s=max(RETRY_AFTER_S, rest_s))
 
     def _quarantined_s(self, job: Job) -> float:
@@ -319,16 +319,16 @@
         return Err(reconcile_status(refusal, progress.ran))
 
 
-def _may_wait(job: Job, come_back_s: float) -> bool:
+def _may_wait(job: Job, retry_after_s: float) -> bool:
     """Tell whether a request that all endpoints hold back waits for its turn."""
     until = job.arrived_at + job.route.objective_s * TURN_SHARE
-    return monotonic() + come_back_s < min(until, job.deadline - MIN_LEFT_S)
+    return monotonic() + retry_after_s < min(until, job.deadline - MIN_LEFT_S)
 
 
-def _no_endpoint(progress: Progress, come_back_s: float | None) -> Refusal:
-    if come_back_s is None:
+def _no_endpoint(progress: Progress, retry_after_s: float | None) -> Refusal:
+    if retry_after_s is None:
         return Refusal(ErrorKind.NO_ENDPOINT, progress.ran)
-    return all_throttled(come_back_s, progress.ran)
+    return all_throttled(retry_after_s, progress.ran)
 
 
 def _outcome(response: web.StreamResponse | None, progress: Progress) -> Outcome:
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -30,19 +30,19 @@
 from stairquay.serving.statements import limit_of, rests_of
 from stairquay.serving.telling import take_told, told_rests, told_statements
 
-ASK_S = 0.08
+ROUTER_TIMEOUT_S = 0.08
 """Seconds for a router's answer: a way of 2 ms and 2 ms of a slow box's time, with room for a burst; a
 third of the shortest objective for a first token is 100 ms."""
 
 ROUTERS_ASKED = 2
 """Routers asked for one prompt before the box decides by itself."""
 
-WAIT_SHARE = 0.35
+MAX_PREFILL_WAIT_SHARE = 0.35
 """Share of the objective up to which a prompt waits for a part that an engine is reading for another one. It
 then reads its own part alone, and begins no later than if it had read all of it beside the other one. Worth
 0.014 of the payoff owed at high load (error 0.008, 12 paired runs): a sixth less is read again."""
 
-SPILL_AT = 0.1
+SECOND_ROUTER_BACKLOG_SHARE = 0.1
 """Backlog, in objectives, from which a second router is asked: its data hall may be less busy."""
 
 
@@ -50,11 +50,11 @@
     """Chooses the endpoint of each request: by itself, or by asking a router."""
 
     def __init__(
-        self, state: BoxState, links: Links, part: LocalRouter, notices: Notices, random: Random
+        self, state: BoxState, links: Links, local_router: LocalRouter, notices: Notices, random: Random
     ) -> None:
         self.state = state
         self.links = links
-        self.part = part
+        self.local_router = local_router
         self.notices = notices
         self.random = random
 
@@ -65,19 +65,19 @@
         """
         prompt = job.call.prompt
         if prompt is None or job.service.engine is None:
-            return self._choose_here(job, progress)
-        wait_until = job.arrived_at + job.route.objective_s * WAIT_SHARE
-        waits = False
+            return self._choose_locally(job, progress)
+        wait_until = job.arrived_at + job.route.objective_s * MAX_PREFILL_WAIT_SHARE
+        wait_logged = False
         while True:
             may_wait = not progress.tried and monotonic() < wait_until
-            asked = self._question(job, prompt, progress, most_backlog_s, may_wait)
-            best = await self._ask_routers(job, prompt, asked, progress)
+            request = self._place_request(job, prompt, progress, most_backlog_s, may_wait)
+            best = await self._ask_routers(job, prompt, request, progress)
             if best is None:
-                return self._choose_here(job, progress)
+                return self._choose_locally(job, progress)
             if not best.again_s:
                 return best
-            if not waits:
-                waits = True
+            if not wait_logged:
+                wait_logged = True
                 self._log_wait(job, best, wait_until)
             await asyncio.sleep(best.again_s)
 
@@ -89,14 +89,14 @@
         )
 
     async def _ask_routers(
-        self, job: Job, prompt: PromptShape, asked: PlaceRequest, progress: Progress
+        self, job: Job, prompt: PromptShape, request: PlaceRequest, progress: Progress
     ) -> Choice | None:
         best: Choice | None = None
         progress.come_back_s = None
         for router in routers_for(self.state.member, self.state.placing_routers())[:ROUTERS_ASKED]:
-            choice = await self._place(router, asked, prompt, progress)
-            best = self._better(best, choice)
-            if best is not None and best.backlog_s <= SPILL_AT * job.route.objective_s:
+            choice = await self._place(router, request, prompt, progress)
+            best = self._keep_shorter_wait(best, choice)
+            if best is not None and best.backlog_s <= SECOND_ROUTER_BACKLOG_SHARE * job.route.objective_s:
                 return best
         return best
 
@@ -113,14 +113,14 @@
             self.notices.add(router, Ended(choice.ticket, outcome))
 
     async def _place(
-        self, router: Member, asked: PlaceRequest, prompt: PromptShape, progress: Progress
+        self, router: Member, request: PlaceRequest, prompt: PromptShape, progress: Progress
     ) -> Choice | None:
         """Return a router's choice, None where there is none that this box may use."""
         try:
-            reply = await self._ask_knowing(router, asked)
+            reply = await self._ask_with_statements(router, request)
         except asyncio.CancelledError:
             # The caller left meanwhile.
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add(router, Ended(request.ticket, Outcome.NOT_SENT))
             raise
         if reply is None:
             return None
@@ -128,13 +128,13 @@
             if reply.come_back_s > 0:
                 progress.come_back_s = min(reply.come_back_s, progress.come_back_s or reply.come_back_s)
             return None
-        endpoint = self._usable(reply, prompt)
+        endpoint = self._usable_endpoint(reply, prompt)
         if endpoint is None:
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add(router, Ended(request.ticket, Outcome.NOT_SENT))
             return None
-        return _choice(endpoint, reply, router.id, asked.ticket)
+        return _choice_from_reply(endpoint, reply, router.id, request.ticket)
 
-    def _better(self, first: Choice | None, second: Choice | None) -> Choice | None:
+    def _keep_shorter_wait(self, first: Choice | None, second: Choice | None) -> Choice | None:
         """Return the choice with the shorter wait, and give up the other."""
         if first is None or second is None:
             return first or second
@@ -142,21 +142,21 @@
         self.finished(worse, Outcome.NOT_SENT)
         return better
 
-    async def _ask_knowing(self, router: Member, asked: PlaceRequest) -> PlaceReply | None:
+    async def _ask_with_statements(self, router: Member, request: PlaceRequest) -> PlaceReply | None:
         """Ask a router, and once more where it did not know what an endpoint had said to this box: only one
         that knows of a limit counts what it places there, also right after it started or took it over."""
-        reply = await self._ask(router, asked)
-        if reply is None or not self._unaware(reply):
+        reply = await self._ask(router, request)
+        if reply is None or not self._lacks_statements(reply):
             return reply
-        told = told_statements(self.state, monotonic(), frozenset((reply.endpoint,)))
-        reply = await self._ask(router, structs.replace(asked, said=told))
-        if reply is not None and (not reply.endpoint or self._unaware(reply)):
+        statements = told_statements(self.state, monotonic(), frozenset((reply.endpoint,)))
+        reply = await self._ask(router, structs.replace(request, said=statements))
+        if reply is not None and (not reply.endpoint or self._lacks_statements(reply)):
             # What it placed at first is not sent.
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add(router, Ended(request.ticket, Outcome.NOT_SENT))
             return PlaceReply(come_back_s=reply.come_back_s)
         return reply
 
-    def _unaware(self, reply: PlaceReply) -> bool:
+    def _lacks_statements(self, reply: PlaceReply) -> bool:
         """Tell whether a router chose an endpoint without knowing what it said to this box: a limit, that it
         leaves, or that it wants rest."""
         state, now = self.state, monotonic()
@@ -172,17 +172,17 @@
             return True
         return endpoint.id in rests_of(state, now)
 
-    async def _ask(self, router: Member, asked: PlaceRequest) -> PlaceReply | None:
+    async def _ask(self, router: Member, request: PlaceRequest) -> PlaceReply | None:
         if router.id == self.state.settings.id:
-            return self.part.place(asked)
-        answer = await self.links.to(router).place(asked, ASK_S)
+            return self.local_router.place(request)
+        answer = await self.links.to(router).place(request, ROUTER_TIMEOUT_S)
         reply = self.links.heard(router, answer, "where a prompt runs")
         if reply is None:
             # It may have placed the prompt all the same.
-            self.notices.add(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add(router, Ended(request.ticket, Outcome.NOT_SENT))
         return reply
 
-    def _usable(self, reply: PlaceReply, prompt: PromptShape) -> Endpoint | None:
+    def _usable_endpoint(self, reply: PlaceReply, prompt: PromptShape) -> Endpoint | None:
         """Return the endpoint that a router chose, None where this box knows that it must not be used."""
         usable = self.state.fleet.by_id.get(reply.endpoint)
         if usable is None or usable.id in self.state.fleet.missing_since_by_id:
@@ -192,7 +192,7 @@
         too_old = self.state.too_old(prompt.model, reply.version or 0, reply.first_token_s)
         return None if too_old else usable
 
-    def _choose_here(self, job: Job, progress: Progress) -> Choice | None:
+    def _choose_locally(self, job: Job, progress: Progress) -> Choice | None:
         tried, rests_s = frozenset(progress.tried), rests_of(self.state, monotonic())
         wanted = Wanted(job.service, job.call.prompt, job.workspace, tried, rests_s=rests_s)
         choice = choose_and_save(self.state, job.catalog, wanted, self.random)
@@ -200,7 +200,7 @@
             count_sent(self.state, choice.endpoint, monotonic(), self.random)
         return choice
 
-    def come_back_s(self, job: Job, progress: Progress) -> float | None:
+    def retry_after_s(self, job: Job, progress: Progress) -> float | None:
         """Return the seconds after which an endpoint takes a job that none takes now, as a router says, or
         this box where none was asked; None where none is held back for having got what it takes, or for
         wanting rest."""
@@ -210,7 +210,7 @@
         rests_s = rests_of(self.state, now)
         return come_back_s(self.state, job.service.id, progress.tried, rests_s, now, self.random)
 
-    def all_rest_s(self, job: Job) -> float | None:
+    def retry_after_rest_s(self, job: Job) -> float | None:
         """Return the seconds after which the caller of a job should come back that is refused while all
         endpoints want rest from this box, those included that turned it away; None where one does not."""
         state, now = self.state, monotonic()
@@ -220,7 +220,7 @@
             return None
         return come_back_s(state, job.service.id, (), rests_s, now, self.random)
 
-    def _question(
+    def _place_request(
         self,
         job: Job,
         prompt: PromptShape,
@@ -245,7 +245,7 @@
         )
 
 
-def _choice(endpoint: Endpoint, reply: PlaceReply, router: str, ticket: str) -> Choice:
+def _choice_from_reply(endpoint: Endpoint, reply: PlaceReply, router: str, ticket: str) -> Choice:
     engine = EngineView(id=endpoint.id, address=endpoint.address, resident=())
     placement = Placement(
         engine, reply.fetch_from, reply.reused, reply.fetched, reply.read, reply.first_token_s
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -122,10 +122,10 @@
     async def choose(self, job: Job, progress: Progress, most_backlog_s: float | None) -> Choice | None:
         return None if self.may_go else Choice(PLAIN)
 
-    def come_back_s(self, job: Job, progress: Progress) -> float | None:
+    def retry_after_s(self, job: Job, progress: Progress) -> float | None:
         return None
 
-    def all_rest_s(self, job: Job) -> float | None:
+    def retry_after_rest_s(self, job: Job) -> float | None:
         return None
 
     def finished(self, choice: Choice, outcome: Outcome) -> None:
