--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -1,7 +1,6 @@
-"""Chooses the endpoint of each prompt by asking one of the boxes that route for all.
+"""Chooses the endpoint of each request, for prompts by asking the boxes that act as routers.
 
-A router that does not answer in time is not asked for a while, and the next one is. Where none answers, the
-box decides by itself: between two engines drawn by chance, since its own view of them is poor.
+A router that does not answer in time is skipped for a while. If none answers, the box chooses by itself.
 """
 
 import asyncio
@@ -31,23 +30,20 @@
 from stairquay.serving.telling import take_told, told_rests, told_statements
 
 ROUTER_TIMEOUT_S = 0.08
-"""Seconds for a router's answer: a way of 2 ms and 2 ms of a slow box's time, with room for a burst; a
-third of the shortest objective for a first token is 100 ms."""
+"""Seconds to wait for a router's answer, well below the objectives for a first token."""
 
 ROUTERS_ASKED = 2
-"""Routers asked for one prompt before the box decides by itself."""
+"""Most routers asked for one prompt before the box chooses by itself."""
 
 MAX_PREFILL_WAIT_SHARE = 0.35
-"""Share of the objective up to which a prompt waits for a part that an engine is reading for another one. It
-then reads its own part alone, and begins no later than if it had read all of it beside the other one. Worth
-0.014 of the payoff owed at high load (error 0.008, 12 paired runs): a sixth less is read again."""
+"""Share of the objective, from arrival, within which a prompt waits for the prefill of a part it shares."""
 
 SECOND_ROUTER_BACKLOG_SHARE = 0.1
-"""Backlog, in objectives, from which a second router is asked: its data hall may be less busy."""
+"""Backlog, as a share of the objective, above which a second router is asked for a shorter one."""
 
 
 class Chooser:
-    """Chooses the endpoint of each request: by itself, or by asking a router."""
+    """Chooses endpoints with the help of routers, and tells them when requests end."""
 
     def __init__(
         self, state: BoxState, links: Links, local_router: LocalRouter, notices: Notices, random: Random
@@ -59,9 +55,9 @@
         self.random = random
 
     async def choose(self, job: Job, progress: Progress, most_backlog_s: float | None) -> Choice | None:
-        """Return where a job goes, None where no endpoint can take it.
+        """Return the endpoint for a job, None if no endpoint can take it.
 
-        most_backlog_s: a longer wait than that makes the sender give it up; None where it does not.
+        most_backlog_s: backlog above which the caller rejects the job; None if it never does.
         """
         prompt = job.call.prompt
         if prompt is None or job.service.engine is None:
@@ -83,7 +79,7 @@
 
     def _log_wait(self, job: Job, choice: Choice, wait_until: float) -> None:
         most_s = wait_until - monotonic()
-        why = "its parts are being read for another prompt"
+        why = "shared parts are in prefill for another prompt"
         self.state.log.line(
             LogEvent.WAITS, job.call.id, router=choice.router, why=why, again_s=choice.again_s, most_s=most_s
         )
@@ -101,13 +97,13 @@
         return best
 
     def prefill_finished(self, choice: Choice) -> None:
-        """Take in that an engine has read a prompt: its answer begins."""
+        """Tell the router that the engine has prefilled a prompt."""
         router = next((item for item in self.state.routers if item.id == choice.router), None)
         if router is not None:
             self.notices.add_read(router, choice.ticket)
 
     def finished(self, choice: Choice, outcome: Outcome = Outcome.DONE) -> None:
-        """Take in that a request has left the endpoint it was placed on, and how."""
+        """Tell the router that a request has ended at its endpoint, and with which outcome."""
         router = next((item for item in self.state.routers if item.id == choice.router), None)
         if router is not None:
             self.notices.add(router, Ended(choice.ticket, outcome))
@@ -115,11 +111,11 @@
     async def _place(
         self, router: Member, request: PlaceRequest, prompt: PromptShape, progress: Progress
     ) -> Choice | None:
-        """Return a router's choice, None where there is none that this box may use."""
+        """Return a router's choice, None if it has none that this box may use."""
         try:
             reply = await self._ask_with_statements(router, request)
         except asyncio.CancelledError:
-            # The caller left meanwhile.
+            # The caller has disconnected.
             self.notices.add(router, Ended(request.ticket, Outcome.NOT_SENT))
             raise
         if reply is None:
@@ -135,7 +131,7 @@
         return _choice_from_reply(endpoint, reply, router.id, request.ticket)
 
     def _keep_shorter_wait(self, first: Choice | None, second: Choice | None) -> Choice | None:
-        """Return the choice with the shorter wait, and give up the other."""
+        """Return the choice with the smaller backlog, and release the other."""
         if first is None or second is None:
             return first or second
         better, worse = (first, second) if first.backlog_s <= second.backlog_s else (second, first)
@@ -143,22 +139,23 @@
         return better
 
     async def _ask_with_statements(self, router: Member, request: PlaceRequest) -> PlaceReply | None:
-        """Ask a router, and once more where it did not know what an endpoint had said to this box: only one
-        that knows of a limit counts what it places there, also right after it started or took it over."""
+        """Ask a router, and once more with this box's statements from the chosen endpoint if it lacks them.
+
+        A router counts requests against an endpoint's rate limit only if it knows that limit.
+        """
         reply = await self._ask(router, request)
         if reply is None or not self._lacks_statements(reply):
             return reply
         statements = told_statements(self.state, monotonic(), frozenset((reply.endpoint,)))
         reply = await self._ask(router, structs.replace(request, said=statements))
         if reply is not None and (not reply.endpoint or self._lacks_statements(reply)):
-            # What it placed at first is not sent.
+            # Release the first placement, which is not used.
             self.notices.add(router, Ended(request.ticket, Outcome.NOT_SENT))
             return PlaceReply(come_back_s=reply.come_back_s)
         return reply
 
     def _lacks_statements(self, reply: PlaceReply) -> bool:
-        """Tell whether a router chose an endpoint without knowing what it said to this box: a limit, that it
-        leaves, or that it wants rest."""
+        """Return whether a router chose an endpoint unaware of what it told this box: limit, leaving or rest."""
         state, now = self.state, monotonic()
         if reply.said is not None:
             take_told(state, (reply.said,), now)
@@ -178,12 +175,12 @@
         answer = await self.links.to(router).place(request, ROUTER_TIMEOUT_S)
         reply = self.links.heard(router, answer, "where a prompt runs")
         if reply is None:
-            # It may have placed the prompt all the same.
+            # It may have placed the prompt and only answered too late.
             self.notices.add(router, Ended(request.ticket, Outcome.NOT_SENT))
         return reply
 
     def _usable_endpoint(self, reply: PlaceReply, prompt: PromptShape) -> Endpoint | None:
-        """Return the endpoint that a router chose, None where this box knows that it must not be used."""
+        """Return the endpoint that a router chose, None if this box knows that it must not be used."""
         usable = self.state.fleet.by_id.get(reply.endpoint)
         if usable is None or usable.id in self.state.fleet.missing_since_by_id:
             return None
@@ -201,9 +198,10 @@
         return choice
 
     def retry_after_s(self, job: Job, progress: Progress) -> float | None:
-        """Return the seconds after which an endpoint takes a job that none takes now, as a router says, or
-        this box where none was asked; None where none is held back for having got what it takes, or for
-        wanting rest."""
+        """Return the seconds until an endpoint is expected to accept the job, None if none is throttled.
+
+        The routers' estimate counts; without one, this box makes its own.
+        """
         if progress.come_back_s is not None:
             return progress.come_back_s
         now = monotonic()
@@ -211,8 +209,10 @@
         return come_back_s(self.state, job.service.id, progress.tried, rests_s, now, self.random)
 
     def retry_after_rest_s(self, job: Job) -> float | None:
-        """Return the seconds after which the caller of a job should come back that is refused while all
-        endpoints want rest from this box, those included that turned it away; None where one does not."""
+        """Return the seconds until the first endpoint ends its rest, None unless all of them rest.
+
+        Endpoints that refused this job count as well.
+        """
         state, now = self.state, monotonic()
         rests_s = rests_of(state, now)
         usable = [item for item in state.fleet.usable(job.service.id, now) if takes_work(state, item)]
