--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -155,7 +155,7 @@
         return reply
 
     def _lacks_statements(self, reply: PlaceReply) -> bool:
-        """Return whether a router chose an endpoint unaware of what it told this box: limit, leaving or rest."""
+        """Return whether a router doesn't know what its chosen endpoint told this box about its use."""
         state, now = self.state, monotonic()
         if reply.said is not None:
             take_told(state, (reply.said,), now)
