--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -38,8 +38,8 @@
     "shedding": Switch(
         "refusing the least urgent when engines are behind",
         SERVING + "dispatch.py",
-        "SHED_AT = 0.1",
-        "SHED_AT = 1e9",
+        "SHED_BACKLOG_SHARE = 0.1",
+        "SHED_BACKLOG_SHARE = 1e9",
     ),
     "fill": Switch("balancing memory before it is full", PLACEMENT, "FILL_S = 0.06", "FILL_S = 0.0"),
     "room": Switch(
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -39,20 +39,20 @@
 SERVER_ERROR = 500
 """HTTP status from which an answer is an endpoint's own error."""
 
-SHED_AT = 0.1
+SHED_BACKLOG_SHARE = 0.1
 """Backlog, in objectives, from which the least urgent requests are refused. Reports lag and all boxes send at
 once, so that the backlog grows beyond it. Of 0.05, 0.15, 0.35 and 0.75, 0.15 served best at high load;
 about 0.05 of that stood for memory in use that nobody waits for, and is not counted any more."""
 
-WORK_WEIGHT = 0.1
+RESPONSE_TIME_WEIGHT = 0.1
 """Weight of the newest answer in an endpoint's mean time to answer."""
 
-TURN_SHARE = 0.25
+MAX_THROTTLE_WAIT_SHARE = 0.25
 """Share of the objective, from a request's arrival, within which it waits for its turn where all endpoints
 take only so many a second: it is still in time then, and a refusal and its return take longer. Who would
 wait longer is refused at once."""
 
-MIN_LEFT_S = 0.01
+MIN_REMAINING_S = 0.01
 """Seconds left below which no attempt is begun."""
 
 
@@ -70,46 +70,46 @@
         self.state.budget(job.service.id).on_request(monotonic())
         progress = Progress()
         while True:
-            refusal = self._may_go_on(job, progress)
+            refusal = self._refusal_before_attempt(job, progress)
             if refusal is not None:
-                return self._given_up(job, progress, refusal, request)
+                return self._give_up(job, progress, refusal, request)
             most_backlog_s = _most_backlog_s(job, progress)
             choice = await self.chooser.choose(job, progress, most_backlog_s)
             if choice is None:
                 retry_after_s = self.chooser.retry_after_s(job, progress)
-                if retry_after_s is not None and _may_wait(job, retry_after_s):
+                if retry_after_s is not None and _can_wait(job, retry_after_s):
                     await asyncio.sleep(retry_after_s)
                     continue
-                refusal = self._told_when(job, _no_endpoint(progress, retry_after_s))
-                return self._given_up(job, progress, refusal, request)
+                refusal = self._with_retry_after(job, _no_endpoint_refusal(progress, retry_after_s))
+                return self._give_up(job, progress, refusal, request)
             outcome = Outcome.NOT_SENT
             try:
                 if most_backlog_s is not None and choice.backlog_s > most_backlog_s:
-                    return self._given_up(job, progress, overloaded(choice), request)
+                    return self._give_up(job, progress, overloaded(choice), request)
                 # Where the caller leaves, the engine may have read the prompt.
                 outcome = Outcome.DONE
                 response = await self._attempt(job, choice, progress, request)
-                outcome = _outcome(response, progress)
+                outcome = _attempt_outcome(response, progress)
             finally:
                 self.chooser.finished(choice, outcome)
             if response is not None:
                 return Ok(response)
-            refusal = self._may_repeat(job, progress)
+            refusal = self._refusal_after_failure(job, progress)
             if refusal is not None:
-                return self._given_up(job, progress, self._told_when(job, refusal), request)
+                return self._give_up(job, progress, self._with_retry_after(job, refusal), request)
 
-    def _may_go_on(self, job: Job, progress: Progress) -> Refusal | None:
+    def _refusal_before_attempt(self, job: Job, progress: Progress) -> Refusal | None:
         """Return why nothing may be sent now, None where it may."""
-        if job.deadline - monotonic() < MIN_LEFT_S:
+        if job.deadline - monotonic() < MIN_REMAINING_S:
             return Refusal(ErrorKind.DEADLINE, progress.ran)
-        if not self._fresh(job):
+        if not self._keys_fresh(job):
             return Refusal(ErrorKind.NOT_READY, progress.ran, "the configuration's view is too old")
         quarantined_s = self._quarantined_s(job)
         if quarantined_s > 0:
             return Refusal(ErrorKind.QUARANTINED, progress.ran, f"digest {job.digest}", quarantined_s)
         return None
 
-    def _told_when(self, job: Job, refusal: Refusal) -> Refusal:
+    def _with_retry_after(self, job: Job, refusal: Refusal) -> Refusal:
         """Return a refusal that gives the end of the rest, where no endpoint takes anything before that."""
         rest_s = None if refusal.kind == ErrorKind.OVERLOADED else self.chooser.retry_after_rest_s(job)
         return refusal if rest_s is None else replace(refusal, retry_after_s=max(RETRY_AFTER_S, rest_s))
@@ -119,17 +119,17 @@
         quarantine = self.state.quarantine
         return quarantine.left_s(job.digest) if quarantine.verdict else 0.0
 
-    def _fresh(self, job: Job) -> bool:
+    def _keys_fresh(self, job: Job) -> bool:
         return job.workspace is None or self.state.keys_fresh()
 
-    def _too_old(self, job: Job, choice: Choice) -> bool:
+    def _version_too_old(self, job: Job, choice: Choice) -> bool:
         """Tell whether the weights a prompt was to run on were replaced too long ago by now."""
         prompt = job.call.prompt
         if prompt is None or choice.placement is None:
             return False
         return self.state.too_old(prompt.model, choice.version or 0, choice.placement.first_token_s)
 
-    def _may_repeat(self, job: Job, progress: Progress) -> Refusal | None:
+    def _refusal_after_failure(self, job: Job, progress: Progress) -> Refusal | None:
         """Return why a failed job is not sent again, None where it is."""
         failure = progress.last
         assert failure is not None
@@ -153,27 +153,27 @@
     ) -> web.StreamResponse | None:
         """Make one attempt. Return the caller's response, or None where it failed (`progress.last`)."""
         attempt = Attempt(job.call.id, choice.endpoint.id)
-        held = self.state.of(choice.endpoint)
-        begun = Begun(choice, attempt, held, monotonic())
+        endpoint_state = self.state.of(choice.endpoint)
+        begun = Begun(choice, attempt, endpoint_state, monotonic())
         # A router has already counted what it placed itself.
-        counted = choice.router == self.state.settings.id
-        held.in_flight += not counted
-        if choice.placement is not None and not counted:
-            held.unread_tokens_by_request[job.call.id] = choice.placement.read
-            held.on_sent(choice.placement.read + choice.placement.fetched, begun.sent_at)
-        note_tried(held, begun.sent_at)
+        counted_by_local_router = choice.router == self.state.settings.id
+        endpoint_state.in_flight += not counted_by_local_router
+        if choice.placement is not None and not counted_by_local_router:
+            endpoint_state.unread_tokens_by_request[job.call.id] = choice.placement.read
+            endpoint_state.on_sent(choice.placement.read + choice.placement.fetched, begun.sent_at)
+        note_tried(endpoint_state, begun.sent_at)
         record_sent(self.state, job, choice, progress)
         try:
             sent = await self._send(job, begun, progress)
             self._take_statement(begun, sent)
             if isinstance(sent, Err):
-                self._failed(job, begun, progress, sent.err_value)
+                self._on_failed(job, begun, progress, sent.err_value)
                 return None
             begun.replied = True
             return await self._relay(job, begun, progress, sent.ok_value, request)
         finally:
-            held.in_flight -= not counted
-            held.unread_tokens_by_request.pop(job.call.id, None)
+            endpoint_state.in_flight -= not counted_by_local_router
+            endpoint_state.unread_tokens_by_request.pop(job.call.id, None)
 
     def _take_statement(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
         """Take in what an answer's head says of its endpoint, before any of it is passed on."""
@@ -187,11 +187,11 @@
         dispatch = self._dispatch(job, begun.choice, left_s, after)
 
         def guard() -> bool:
-            if not self._fresh(job) or job.deadline <= monotonic() or self._quarantined_s(job) > 0:
+            if not self._keys_fresh(job) or job.deadline <= monotonic() or self._quarantined_s(job) > 0:
                 return False
             if not takes_work(self.state, begun.choice.endpoint) or is_resting(begun.held, monotonic()):
                 return False
-            return not self._too_old(job, begun.choice)
+            return not self._version_too_old(job, begun.choice)
 
         return await self.endpoints.send(job.call, job.body, dispatch, begun.attempt, guard, left_s)
 
@@ -222,7 +222,7 @@
                     reply,
                     progress.stream,
                     job.deadline,
-                    on_first=lambda: self._on_first(job, begun),
+                    on_first=lambda: self._on_first_output(job, begun),
                     last_on_connection=self.state.turns_away,
                 )
                 response = progress.stream.response
@@ -232,9 +232,11 @@
                 raise BrokenAnswer(f"status {reply.status} in place of the rest of a stream")
             else:
                 body = await read_whole(reply, job.deadline)
-                if reply.status >= SERVER_ERROR and self._error_again(job, begun, progress, reply, body):
+                if reply.status >= SERVER_ERROR and self._handle_error_reply(
+                    job, begun, progress, reply, body
+                ):
                     return None
-                self._on_first(job, begun)
+                self._on_first_output(job, begun)
                 response = whole_response(reply, body)
         except (BrokenAnswer, TimeoutError) as error:
             kind = ErrorKind.DEADLINE if isinstance(error, TimeoutError) else ErrorKind.ENDPOINT_FAILED
@@ -242,28 +244,30 @@
             fault = kind != ErrorKind.DEADLINE
             detail = f"the answer broke off: {error}"
             failure = SendFailure(kind, begun.attempt.ran, detail, reply.status, fault=fault, broke=fault)
-            self._failed(job, begun, progress, failure)
+            self._on_failed(job, begun, progress, failure)
             return None
         finally:
             reply.close()
         begun.attempt.finish()
-        self._ended_well(job, begun, reply, progress)
+        self._on_succeeded(job, begun, reply, progress)
         return response
 
-    def _error_again(self, job: Job, begun: Begun, progress: Progress, reply: Reply, body: bytes) -> bool:
+    def _handle_error_reply(
+        self, job: Job, begun: Begun, progress: Progress, reply: Reply, body: bytes
+    ) -> bool:
         """Take in an endpoint's own error; tell whether the job is sent again instead of passing it on."""
         progress.kept_reply = (reply, body)
-        again = job.route.may_run_again and progress.runs + 1 < job.route.max_attempts
-        if not again:
+        should_retry = job.route.may_run_again and progress.runs + 1 < job.route.max_attempts
+        if not should_retry:
             return False
         begun.attempt.lose()
         failure = SendFailure(
             ErrorKind.ENDPOINT_FAILED, begun.attempt.ran, f"status {reply.status}", reply.status, fault=False
         )
-        self._failed(job, begun, progress, failure)
+        self._on_failed(job, begun, progress, failure)
         return True
 
-    def _on_first(self, job: Job, begun: Begun) -> None:
+    def _on_first_output(self, job: Job, begun: Begun) -> None:
         if begun.first_at is not None:
             return
         begun.first_at = monotonic()
@@ -275,7 +279,7 @@
         record_prompt(self.state, job, placement)
         self.chooser.prefill_finished(begun.choice)
 
-    def _failed(self, job: Job, begun: Begun, progress: Progress, failure: SendFailure) -> None:
+    def _on_failed(self, job: Job, begun: Begun, progress: Progress, failure: SendFailure) -> None:
         """Take in a failed attempt."""
         now = monotonic()
         progress.last = failure
@@ -286,25 +290,25 @@
             begun.held.refused_until = now + FULL_PAUSE_S
         else:
             progress.runs += 1
-        if _speaks_against(failure):
+        if _counts_against_endpoint(failure):
             begun.held.on_outcome(True, now)
-            if _unreached(failure):
+            if _was_unreachable(failure):
                 begun.held.doubted_at = now
         if failure.broke:
             self.crashes.broke(job, begun, progress.stream.events)
         record_failed(self.state, job, begun, failure, now)
 
-    def _ended_well(self, job: Job, begun: Begun, reply: Reply, progress: Progress) -> None:
+    def _on_succeeded(self, job: Job, begun: Begun, reply: Reply, progress: Progress) -> None:
         now = monotonic()
         if reply.status < SERVER_ERROR:
             self.state.quarantine.served(job.digest)
         begun.held.on_outcome(False, now)
-        begun.held.work_s += WORK_WEIGHT * ((now - begun.sent_at) - begun.held.work_s)
+        begun.held.work_s += RESPONSE_TIME_WEIGHT * ((now - begun.sent_at) - begun.held.work_s)
         if reply.version is not None:
             begun.held.version = max(begun.held.version, reply.version)
         record_answered(self.state, job, begun, reply, progress, now)
 
-    def _given_up(
+    def _give_up(
         self, job: Job, progress: Progress, refusal: Refusal, request: web.Request
     ) -> Result[web.StreamResponse, Refusal]:
         """End a job without success: with the endpoint's own error, a refusal, or a cut stream."""
@@ -319,19 +323,19 @@
         return Err(reconcile_status(refusal, progress.ran))
 
 
-def _may_wait(job: Job, retry_after_s: float) -> bool:
+def _can_wait(job: Job, retry_after_s: float) -> bool:
     """Tell whether a request that all endpoints hold back waits for its turn."""
-    until = job.arrived_at + job.route.objective_s * TURN_SHARE
-    return monotonic() + retry_after_s < min(until, job.deadline - MIN_LEFT_S)
+    until = job.arrived_at + job.route.objective_s * MAX_THROTTLE_WAIT_SHARE
+    return monotonic() + retry_after_s < min(until, job.deadline - MIN_REMAINING_S)
 
 
-def _no_endpoint(progress: Progress, retry_after_s: float | None) -> Refusal:
+def _no_endpoint_refusal(progress: Progress, retry_after_s: float | None) -> Refusal:
     if retry_after_s is None:
         return Refusal(ErrorKind.NO_ENDPOINT, progress.ran)
     return all_throttled(retry_after_s, progress.ran)
 
 
-def _outcome(response: web.StreamResponse | None, progress: Progress) -> Outcome:
+def _attempt_outcome(response: web.StreamResponse | None, progress: Progress) -> Outcome:
     """Return what an attempt that has just ended says of its endpoint."""
     failure = progress.last
     if response is not None or failure is None:
@@ -339,16 +343,16 @@
     if failure.ran == Ran.NOT_RUN and failure.status:
         return Outcome.TURNED_AWAY
     if failure.ran == Ran.NOT_RUN:
-        return Outcome.UNREACHED if _unreached(failure) else Outcome.NOT_SENT
-    return Outcome.FAILED if _speaks_against(failure) else Outcome.DONE
+        return Outcome.UNREACHED if _was_unreachable(failure) else Outcome.NOT_SENT
+    return Outcome.FAILED if _counts_against_endpoint(failure) else Outcome.DONE
 
 
-def _unreached(failure: SendFailure) -> bool:
+def _was_unreachable(failure: SendFailure) -> bool:
     """Tell whether the endpoint took no connection."""
-    return failure.ran == Ran.NOT_RUN and not failure.status and _speaks_against(failure)
+    return failure.ran == Ran.NOT_RUN and not failure.status and _counts_against_endpoint(failure)
 
 
-def _speaks_against(failure: SendFailure) -> bool:
+def _counts_against_endpoint(failure: SendFailure) -> bool:
     """Tell whether a failed attempt counts as its endpoint's failure."""
     return failure.fault and failure.kind != ErrorKind.DEADLINE
 
@@ -362,4 +366,4 @@
     """
     if progress.tried or not job.catalog.least_urgent(job.route, job.service.id):
         return None
-    return job.route.objective_s * SHED_AT
+    return job.route.objective_s * SHED_BACKLOG_SHARE
