--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -1,4 +1,4 @@
-"""Runs a request: attempts at endpoints, one after the other, as far as truth, time and budget allow."""
+"""Sends a request to endpoints, one attempt after another, within its deadline and the retry budget."""
 
 import asyncio
 from dataclasses import replace
@@ -34,30 +34,27 @@
 from stairquay.serving.statements import is_resting, note_tried, take_statement
 
 MAX_REFUSED = 4
-"""Times that one request may be turned away by endpoints before it is refused."""
+"""Attempts that may fail without running before the request is refused."""
 
 SERVER_ERROR = 500
-"""HTTP status from which an answer is an endpoint's own error."""
+"""Lowest HTTP status that is an endpoint's own error."""
 
 SHED_BACKLOG_SHARE = 0.1
-"""Backlog, in objectives, from which the least urgent requests are refused. Reports lag and all boxes send at
-once, so that the backlog grows beyond it. Of 0.05, 0.15, 0.35 and 0.75, 0.15 served best at high load;
-about 0.05 of that stood for memory in use that nobody waits for, and is not counted any more."""
+"""Backlog, as a share of the objective, above which the lowest-priority requests are shed."""
 
 RESPONSE_TIME_WEIGHT = 0.1
-"""Weight of the newest answer in an endpoint's mean time to answer."""
+"""Weight of the newest answer in the moving average of an endpoint's response times."""
 
 MAX_THROTTLE_WAIT_SHARE = 0.25
-"""Share of the objective, from a request's arrival, within which it waits for its turn where all endpoints
-take only so many a second: it is still in time then, and a refusal and its return take longer. Who would
-wait longer is refused at once."""
+"""Share of the objective, from arrival, within which a request waits while all endpoints throttle this box.
+One that would wait longer is refused at once."""
 
 MIN_REMAINING_S = 0.01
-"""Seconds left below which no attempt is begun."""
+"""Remaining seconds below which no attempt is started."""
 
 
 class Dispatcher:
-    """Sends jobs to endpoints."""
+    """Sends jobs to endpoints and relays their answers."""
 
     def __init__(self, state: BoxState, endpoints: Endpoints, chooser: Chooser, crashes: CrashWatch) -> None:
         self.state = state
@@ -66,7 +63,7 @@
         self.crashes = crashes
 
     async def run(self, job: Job, request: web.Request) -> Result[web.StreamResponse, Refusal]:
-        """Run a job to its end, and return the answer that was given or is to be given."""
+        """Run a job to its end. Return the response, already sent if it is a stream, or a refusal."""
         self.state.budget(job.service.id).on_request(monotonic())
         progress = Progress()
         while True:
@@ -86,7 +83,7 @@
             try:
                 if most_backlog_s is not None and choice.backlog_s > most_backlog_s:
                     return self._give_up(job, progress, overloaded(choice), request)
-                # Where the caller leaves, the engine may have read the prompt.
+                # If the caller disconnects, the engine may have prefilled the prompt already.
                 outcome = Outcome.DONE
                 response = await self._attempt(job, choice, progress, request)
                 outcome = _attempt_outcome(response, progress)
@@ -99,7 +96,7 @@
                 return self._give_up(job, progress, self._with_retry_after(job, refusal), request)
 
     def _refusal_before_attempt(self, job: Job, progress: Progress) -> Refusal | None:
-        """Return why nothing may be sent now, None where it may."""
+        """Return the refusal if nothing may be sent now, else None."""
         if job.deadline - monotonic() < MIN_REMAINING_S:
             return Refusal(ErrorKind.DEADLINE, progress.ran)
         if not self._keys_fresh(job):
@@ -110,12 +107,12 @@
         return None
 
     def _with_retry_after(self, job: Job, refusal: Refusal) -> Refusal:
-        """Return a refusal that gives the end of the rest, where no endpoint takes anything before that."""
+        """Return the refusal, with Retry-After set to the end of the rest if all endpoints rest."""
         rest_s = None if refusal.kind == ErrorKind.OVERLOADED else self.chooser.retry_after_rest_s(job)
         return refusal if rest_s is None else replace(refusal, retry_after_s=max(RETRY_AFTER_S, rest_s))
 
     def _quarantined_s(self, job: Job) -> float:
-        """Return for how many more seconds nothing is sent of a job, because it crashes endpoints."""
+        """Return the seconds for which a job that crashes endpoints remains quarantined."""
         quarantine = self.state.quarantine
         return quarantine.left_s(job.digest) if quarantine.verdict else 0.0
 
@@ -123,19 +120,19 @@
         return job.workspace is None or self.state.keys_fresh()
 
     def _version_too_old(self, job: Job, choice: Choice) -> bool:
-        """Tell whether the weights a prompt was to run on were replaced too long ago by now."""
+        """Return whether the chosen engine's weights were replaced too long ago to start a prompt on them."""
         prompt = job.call.prompt
         if prompt is None or choice.placement is None:
             return False
         return self.state.too_old(prompt.model, choice.version or 0, choice.placement.first_token_s)
 
     def _refusal_after_failure(self, job: Job, progress: Progress) -> Refusal | None:
-        """Return why a failed job is not sent again, None where it is."""
+        """Return the refusal if a failed job must not be retried, else None."""
         failure = progress.last
         assert failure is not None
         refusal = Refusal(failure.kind, progress.ran, failure.detail, retry_after_s=RETRY_AFTER_S)
         if failure.ran == Ran.NOT_RUN and failure.status == 0:
-            # It never left this box, so that no endpoint saw it twice.
+            # The request never left this box, so that a retry needs no budget.
             return None if progress.refused < MAX_REFUSED else refusal
         if failure.ran != Ran.NOT_RUN:
             if not job.route.may_run_again or progress.runs >= job.route.max_attempts:
@@ -151,11 +148,11 @@
     async def _attempt(
         self, job: Job, choice: Choice, progress: Progress, request: web.Request
     ) -> web.StreamResponse | None:
-        """Make one attempt. Return the caller's response, or None where it failed (`progress.last`)."""
+        """Make one attempt. Return the caller's response, or None if it failed (`progress.last`)."""
         attempt = Attempt(job.call.id, choice.endpoint.id)
         endpoint_state = self.state.of(choice.endpoint)
         begun = Begun(choice, attempt, endpoint_state, monotonic())
-        # A router has already counted what it placed itself.
+        # The local router has already counted the prompts that it placed.
         counted_by_local_router = choice.router == self.state.settings.id
         endpoint_state.in_flight += not counted_by_local_router
         if choice.placement is not None and not counted_by_local_router:
@@ -176,7 +173,7 @@
             endpoint_state.unread_tokens_by_request.pop(job.call.id, None)
 
     def _take_statement(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
-        """Take in what an answer's head says of its endpoint, before any of it is passed on."""
+        """Apply the endpoint's statement in the head of a reply."""
         said = sent.err_value.said if isinstance(sent, Err) else sent.ok_value.said
         if said is not None:
             take_statement(self.state, begun.choice.endpoint, begun.held, said, begun.sent_at, monotonic())
@@ -214,7 +211,7 @@
     async def _relay(
         self, job: Job, begun: Begun, progress: Progress, reply: Reply, request: web.Request
     ) -> web.StreamResponse | None:
-        """Pass an answer on. Return None where it broke off and might be tried elsewhere."""
+        """Relay a reply. Return None if the attempt failed and the job may be retried."""
         try:
             if reply.streamed and reply.status < SERVER_ERROR:
                 await relay_stream(
@@ -228,7 +225,7 @@
                 response = progress.stream.response
                 assert response is not None
             elif progress.stream.response is not None:
-                # The caller already has the head of a stream: no other answer may follow it.
+                # The caller already has the head of a stream, which no other answer may follow.
                 raise BrokenAnswer(f"status {reply.status} in place of the rest of a stream")
             else:
                 body = await read_whole(reply, job.deadline)
@@ -255,7 +252,7 @@
     def _handle_error_reply(
         self, job: Job, begun: Begun, progress: Progress, reply: Reply, body: bytes
     ) -> bool:
-        """Take in an endpoint's own error; tell whether the job is sent again instead of passing it on."""
+        """Keep an endpoint's error reply. Return whether the job is retried instead of relaying it."""
         progress.kept_reply = (reply, body)
         should_retry = job.route.may_run_again and progress.runs + 1 < job.route.max_attempts
         if not should_retry:
@@ -280,7 +277,7 @@
         self.chooser.prefill_finished(begun.choice)
 
     def _on_failed(self, job: Job, begun: Begun, progress: Progress, failure: SendFailure) -> None:
-        """Take in a failed attempt."""
+        """Record a failed attempt."""
         now = monotonic()
         progress.last = failure
         progress.ran = worst(progress.ran, failure.ran)
@@ -311,7 +308,7 @@
     def _give_up(
         self, job: Job, progress: Progress, refusal: Refusal, request: web.Request
     ) -> Result[web.StreamResponse, Refusal]:
-        """End a job without success: with the endpoint's own error, a refusal, or a cut stream."""
+        """End a failed job with the endpoint's own error, a refusal, or a truncated stream."""
         if progress.stream.response is not None:
             cut(request)
             record_given_up(self.state, job, "cut", progress.ran, refusal)
@@ -324,7 +321,7 @@
 
 
 def _can_wait(job: Job, retry_after_s: float) -> bool:
-    """Tell whether a request that all endpoints hold back waits for its turn."""
+    """Return whether a request that all endpoints throttle can wait and still meet its objective."""
     until = job.arrived_at + job.route.objective_s * MAX_THROTTLE_WAIT_SHARE
     return monotonic() + retry_after_s < min(until, job.deadline - MIN_REMAINING_S)
 
@@ -336,7 +333,7 @@
 
 
 def _attempt_outcome(response: web.StreamResponse | None, progress: Progress) -> Outcome:
-    """Return what an attempt that has just ended says of its endpoint."""
+    """Return what an attempt that has just ended tells about its endpoint."""
     failure = progress.last
     if response is not None or failure is None:
         return Outcome.DONE
@@ -348,21 +345,19 @@
 
 
 def _was_unreachable(failure: SendFailure) -> bool:
-    """Tell whether the endpoint took no connection."""
+    """Return whether no connection to the endpoint could be made."""
     return failure.ran == Ran.NOT_RUN and not failure.status and _counts_against_endpoint(failure)
 
 
 def _counts_against_endpoint(failure: SendFailure) -> bool:
-    """Tell whether a failed attempt counts as its endpoint's failure."""
+    """Return whether a failed attempt counts as its endpoint's failure."""
     return failure.fault and failure.kind != ErrorKind.DEADLINE
 
 
 def _most_backlog_s(job: Job, progress: Progress) -> float | None:
-    """Return the wait from which a request is refused at once, because every engine has more work than it
-    does in time; None for requests that are never refused for that.
+    """Return the backlog in seconds above which a request is shed, None for those that are never shed.
 
-    Only the least urgent kind is: the others are let in before it. Those that are let in are in time,
-    where otherwise all of them would be late.
+    Only first attempts of the lowest priority are shed, so that the others still meet their objectives.
     """
     if progress.tried or not job.catalog.least_urgent(job.route, job.service.id):
         return None
