--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -79,7 +79,7 @@
 
     def _log_wait(self, job: Job, choice: Choice, wait_until: float) -> None:
         most_s = wait_until - monotonic()
-        why = "shared parts are in prefill for another prompt"
+        why = "its parts are being read for another prompt"
         self.state.log.line(
             LogEvent.WAITS, job.call.id, router=choice.router, why=why, again_s=choice.again_s, most_s=most_s
         )
