--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -108,8 +108,8 @@
 
     def _with_retry_after(self, job: Job, refusal: Refusal) -> Refusal:
         """Return the refusal, with Retry-After set to the end of the rest if all endpoints rest."""
-        rest_s = None if refusal.kind == ErrorKind.OVERLOADED else self.chooser.retry_after_rest_s(job)
-        return refusal if rest_s is None else replace(refusal, retry_after_s=max(RETRY_AFTER_S, rest_s))
+        backoff_s = None if refusal.kind == ErrorKind.OVERLOADED else self.chooser.retry_after_backoff_s(job)
+        return refusal if backoff_s is None else replace(refusal, retry_after_s=max(RETRY_AFTER_S, backoff_s))
 
     def _quarantined_s(self, job: Job) -> float:
         """Return the seconds for which a job that crashes endpoints remains quarantined."""
@@ -162,7 +162,7 @@
         record_sent(self.state, job, choice, progress)
         try:
             sent = await self._send(job, begun, progress)
-            self._take_statement(begun, sent)
+            self._apply_feedback(begun, sent)
             if isinstance(sent, Err):
                 self._on_failed(job, begun, progress, sent.err_value)
                 return None
@@ -172,7 +172,7 @@
             endpoint_state.in_flight -= not counted_by_local_router
             endpoint_state.unread_tokens_by_request.pop(job.call.id, None)
 
-    def _take_statement(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
+    def _apply_feedback(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
         """Apply the endpoint's statement in the head of a reply."""
         said = sent.err_value.said if isinstance(sent, Err) else sent.ok_value.said
         if said is not None:
--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -113,7 +113,7 @@
     ) -> Choice | None:
         """Return a router's choice, None if it has none that this box may use."""
         try:
-            reply = await self._ask_with_statements(router, request)
+            reply = await self._ask_with_feedback(router, request)
         except asyncio.CancelledError:
             # The caller has disconnected.
             self.notices.add(router, Ended(request.ticket, Outcome.NOT_SENT))
@@ -138,23 +138,23 @@
         self.finished(worse, Outcome.NOT_SENT)
         return better
 
-    async def _ask_with_statements(self, router: Member, request: PlaceRequest) -> PlaceReply | None:
+    async def _ask_with_feedback(self, router: Member, request: PlaceRequest) -> PlaceReply | None:
         """Ask a router, and once more with this box's statements from the chosen endpoint if it lacks them.
 
         A router counts requests against an endpoint's rate limit only if it knows that limit.
         """
         reply = await self._ask(router, request)
-        if reply is None or not self._lacks_statements(reply):
+        if reply is None or not self._lacks_feedback(reply):
             return reply
-        statements = told_statements(self.state, monotonic(), frozenset((reply.endpoint,)))
-        reply = await self._ask(router, structs.replace(request, said=statements))
-        if reply is not None and (not reply.endpoint or self._lacks_statements(reply)):
+        feedback = told_statements(self.state, monotonic(), frozenset((reply.endpoint,)))
+        reply = await self._ask(router, structs.replace(request, said=feedback))
+        if reply is not None and (not reply.endpoint or self._lacks_feedback(reply)):
             # Release the first placement, which is not used.
             self.notices.add(router, Ended(request.ticket, Outcome.NOT_SENT))
             return PlaceReply(come_back_s=reply.come_back_s)
         return reply
 
-    def _lacks_statements(self, reply: PlaceReply) -> bool:
+    def _lacks_feedback(self, reply: PlaceReply) -> bool:
         """Return whether a router doesn't know what its chosen endpoint told this box about its use."""
         state, now = self.state, monotonic()
         if reply.said is not None:
@@ -190,8 +190,8 @@
         return None if too_old else usable
 
     def _choose_locally(self, job: Job, progress: Progress) -> Choice | None:
-        tried, rests_s = frozenset(progress.tried), rests_of(self.state, monotonic())
-        wanted = Wanted(job.service, job.call.prompt, job.workspace, tried, rests_s=rests_s)
+        tried, backoffs_s = frozenset(progress.tried), rests_of(self.state, monotonic())
+        wanted = Wanted(job.service, job.call.prompt, job.workspace, tried, rests_s=backoffs_s)
         choice = choose_and_save(self.state, job.catalog, wanted, self.random)
         if choice is not None:
             count_sent(self.state, choice.endpoint, monotonic(), self.random)
@@ -205,20 +205,20 @@
         if progress.come_back_s is not None:
             return progress.come_back_s
         now = monotonic()
-        rests_s = rests_of(self.state, now)
-        return come_back_s(self.state, job.service.id, progress.tried, rests_s, now, self.random)
+        backoffs_s = rests_of(self.state, now)
+        return come_back_s(self.state, job.service.id, progress.tried, backoffs_s, now, self.random)
 
-    def retry_after_rest_s(self, job: Job) -> float | None:
+    def retry_after_backoff_s(self, job: Job) -> float | None:
         """Return the seconds until the first endpoint ends its rest, None unless all of them rest.
 
         Endpoints that refused this job count as well.
         """
         state, now = self.state, monotonic()
-        rests_s = rests_of(state, now)
+        backoffs_s = rests_of(state, now)
         usable = [item for item in state.fleet.usable(job.service.id, now) if takes_work(state, item)]
-        if not usable or any(item.id not in rests_s for item in usable):
+        if not usable or any(item.id not in backoffs_s for item in usable):
             return None
-        return come_back_s(state, job.service.id, (), rests_s, now, self.random)
+        return come_back_s(state, job.service.id, (), backoffs_s, now, self.random)
 
     def _place_request(
         self,
--- a/stairquay/serving/local_router.py
+++ b/stairquay/serving/local_router.py
@@ -105,11 +105,11 @@
         """Choose an engine for a prompt, and count it there until the sender reports its end."""
         now = monotonic()
         take_told(self.state, request.said, now)
-        rests_s = {item.endpoint: item.rest_s for item in request.said if item.rest_s > 0}
-        choice = self._choose(request, rests_s)
+        backoffs_s = {item.endpoint: item.rest_s for item in request.said if item.rest_s > 0}
+        choice = self._choose(request, backoffs_s)
         if choice is None or choice.placement is None:
             earliest_retry_s = come_back_s(
-                self.state, request.service, request.tried, rests_s, now, self.random
+                self.state, request.service, request.tried, backoffs_s, now, self.random
             )
             return PlaceReply(come_back_s=earliest_retry_s or 0.0)
         said = statement_told(choice.endpoint, self.state.of(choice.endpoint), now)
@@ -185,15 +185,15 @@
         if ended.outcome in (Outcome.DONE, Outcome.FAILED, Outcome.UNREACHED):
             endpoint_state.on_outcome(ended.outcome != Outcome.DONE, now)
 
-    def _choose(self, request: PlaceRequest, rests_s: dict[str, float]) -> Choice | None:
+    def _choose(self, request: PlaceRequest, backoffs_s: dict[str, float]) -> Choice | None:
         catalog = self.state.catalog
         service = None if catalog is None else catalog.services_by_id.get(request.service)
         if catalog is None or service is None:
             return None
         parts = tuple(Part(part.id, part.tokens) for part in request.parts)
         prompt = PromptShape(request.model, parts, request.tokens, request.max_output)
-        wall = WorkspaceRule(request.wall, isolated=True) if request.wall else None
-        wanted = Wanted(service, prompt, wall, frozenset(request.tried), request.box, rests_s)
+        workspace = WorkspaceRule(request.wall, isolated=True) if request.wall else None
+        wanted = Wanted(service, prompt, workspace, frozenset(request.tried), request.box, backoffs_s)
         return choose_and_save(self.state, catalog, wanted, self.random)
 
     def _record_placement(self, request: PlaceRequest, choice: Choice) -> None:
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -125,7 +125,7 @@
     def retry_after_s(self, job: Job, progress: Progress) -> float | None:
         return None
 
-    def retry_after_rest_s(self, job: Job) -> float | None:
+    def retry_after_backoff_s(self, job: Job) -> float | None:
         return None
 
     def finished(self, choice: Choice, outcome: Outcome) -> None:
