--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -107,7 +107,7 @@
         return None
 
     def _with_retry_after(self, job: Job, refusal: Refusal) -> Refusal:
-        """Return the refusal, with Retry-After set to the end of the rest if all endpoints rest."""
+        """Return the refusal, with Retry-After set if all endpoints asked for back-off."""
         backoff_s = None if refusal.kind == ErrorKind.OVERLOADED else self.chooser.retry_after_backoff_s(job)
         return refusal if backoff_s is None else replace(refusal, retry_after_s=max(RETRY_AFTER_S, backoff_s))
 
@@ -173,7 +173,7 @@
             endpoint_state.unread_tokens_by_request.pop(job.call.id, None)
 
     def _apply_feedback(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
-        """Apply the endpoint's statement in the head of a reply."""
+        """Apply the endpoint's feedback in the head of a reply."""
         said = sent.err_value.said if isinstance(sent, Err) else sent.ok_value.said
         if said is not None:
             take_statement(self.state, begun.choice.endpoint, begun.held, said, begun.sent_at, monotonic())
--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -139,7 +139,7 @@
         return better
 
     async def _ask_with_feedback(self, router: Member, request: PlaceRequest) -> PlaceReply | None:
-        """Ask a router, and once more with this box's statements from the chosen endpoint if it lacks them.
+        """Ask a router, and once more with this box's feedback from the chosen endpoint if it lacks that.
 
         A router counts requests against an endpoint's rate limit only if it knows that limit.
         """
@@ -209,7 +209,7 @@
         return come_back_s(self.state, job.service.id, progress.tried, backoffs_s, now, self.random)
 
     def retry_after_backoff_s(self, job: Job) -> float | None:
-        """Return the seconds until the first endpoint ends its rest, None unless all of them rest.
+        """Return the seconds until the first back-off ends, None unless all endpoints asked for one.
 
         Endpoints that refused this job count as well.
         """
--- a/stairquay/serving/refusals.py
+++ b/stairquay/serving/refusals.py
@@ -23,7 +23,7 @@
 
 
 def all_throttled(retry_after_s: float, ran: Ran) -> Refusal:
-    """Return the refusal of a request for which every endpoint is over its rate limit or has asked for rest.
+    """Return the refusal of a request for which every endpoint is over its rate limit or backing off.
 
     retry_after_s: seconds until one of them is expected to accept the request.
     """
