--- a/stairquay/serving/crash_detector.py
+++ b/stairquay/serving/crash_detector.py
@@ -8,7 +8,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.crashes import Crash
 from stairquay.core.fleet import Endpoint
-from stairquay.serving.decisions import Decision
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.jobs import Begun, Job
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
@@ -50,7 +50,7 @@
             return
         self.state.metrics.crashes.labels(self.state.metrics.labels.of(endpoint.service)).inc()
         self.state.log.line(
-            Decision.CRASHED,
+            LogEvent.CRASHED,
             endpoint=endpoint.id,
             life=incarnation,
             accepts=accepts,
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -1,4 +1,4 @@
-"""Runs a request: attempts at endpoints, one after the other, as far as truth, time and budget allow."""
+"""Sends a request to endpoints, one attempt after another, within its deadline and the retry budget."""
 
 import asyncio
 from dataclasses import replace
@@ -11,10 +11,10 @@
 from stairquay.core.call import Dispatch
 from stairquay.core.catalog import urgency
 from stairquay.core.errors import ErrorKind, ExecutionStatus, Refusal
-from stairquay.serving.asking import Chooser
 from stairquay.serving.crash_detector import CrashDetector
 from stairquay.serving.endpoint import BUSY_BACKOFF_S
 from stairquay.serving.endpoint_choice import Choice
+from stairquay.serving.endpoint_chooser import Chooser
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.messages import Outcome
@@ -28,36 +28,33 @@
     record_prompt,
     record_sent,
 )
-from stairquay.serving.refusals import RETRY_AFTER_S, all_held_back, overloaded, truthful
+from stairquay.serving.refusals import RETRY_AFTER_S, all_throttled, overloaded, reconcile_status
 from stairquay.serving.relay import cut, read_whole, relay_stream, whole_response
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import apply_feedback, is_backing_off, record_probe
 
 MAX_REFUSED = 4
-"""Times that one request may be turned away by endpoints before it is refused."""
+"""Attempts that may fail without running before the request is refused."""
 
 SERVER_ERROR = 500
-"""HTTP status from which an answer is an endpoint's own error."""
+"""Lowest HTTP status that is an endpoint's own error."""
 
-SHED_AT = 0.1
-"""Backlog, in objectives, from which the least urgent requests are refused. Reports lag and all boxes send at
-once, so that the backlog grows beyond it. Of 0.05, 0.15, 0.35 and 0.75, 0.15 served best at high load;
-about 0.05 of that stood for memory in use that nobody waits for, and is not counted any more."""
+SHED_BACKLOG_SHARE = 0.1
+"""Backlog, as a share of the objective, above which the lowest-priority requests are shed."""
 
-WORK_WEIGHT = 0.1
-"""Weight of the newest answer in an endpoint's mean time to answer."""
+RESPONSE_TIME_WEIGHT = 0.1
+"""Weight of the newest answer in the moving average of an endpoint's response times."""
 
-TURN_SHARE = 0.25
-"""Share of the objective, from a request's arrival, within which it waits for its turn where all endpoints
-take only so many a second: it is still in time then, and a refusal and its return take longer. Who would
-wait longer is refused at once."""
+MAX_THROTTLE_WAIT_SHARE = 0.25
+"""Share of the objective, from arrival, within which a request waits while all endpoints throttle this box.
+One that would wait longer is refused at once."""
 
-MIN_LEFT_S = 0.01
-"""Seconds left below which no attempt is begun."""
+MIN_REMAINING_S = 0.01
+"""Remaining seconds below which no attempt is started."""
 
 
 class Dispatcher:
-    """Sends jobs to endpoints."""
+    """Sends jobs to endpoints and relays their answers."""
 
     def __init__(
         self, state: BoxState, endpoints: Endpoints, chooser: Chooser, crashes: CrashDetector
@@ -68,76 +65,76 @@
         self.crashes = crashes
 
     async def run(self, job: Job, request: web.Request) -> Result[web.StreamResponse, Refusal]:
-        """Run a job to its end, and return the answer that was given or is to be given."""
+        """Run a job to its end. Return the response, already sent if it is a stream, or a refusal."""
         self.state.retry_budget(job.service.id).on_request(monotonic())
         progress = Progress()
         while True:
-            refusal = self._may_go_on(job, progress)
+            refusal = self._refusal_before_attempt(job, progress)
             if refusal is not None:
-                return self._given_up(job, progress, refusal, request)
+                return self._give_up(job, progress, refusal, request)
             most_backlog_s = _most_backlog_s(job, progress)
             choice = await self.chooser.choose(job, progress, most_backlog_s)
             if choice is None:
-                come_back_s = self.chooser.come_back_s(job, progress)
-                if come_back_s is not None and _may_wait(job, come_back_s):
-                    await asyncio.sleep(come_back_s)
+                retry_after_s = self.chooser.retry_after_s(job, progress)
+                if retry_after_s is not None and _can_wait(job, retry_after_s):
+                    await asyncio.sleep(retry_after_s)
                     continue
-                refusal = self._told_when(job, _no_endpoint(progress, come_back_s))
-                return self._given_up(job, progress, refusal, request)
+                refusal = self._with_retry_after(job, _no_endpoint_refusal(progress, retry_after_s))
+                return self._give_up(job, progress, refusal, request)
             outcome = Outcome.NOT_SENT
             try:
                 if most_backlog_s is not None and choice.backlog_s > most_backlog_s:
-                    return self._given_up(job, progress, overloaded(choice), request)
-                # Where the caller leaves, the engine may have read the prompt.
+                    return self._give_up(job, progress, overloaded(choice), request)
+                # If the caller disconnects, the engine may have prefilled the prompt already.
                 outcome = Outcome.DONE
                 response = await self._attempt(job, choice, progress, request)
-                outcome = _outcome(response, progress)
+                outcome = _attempt_outcome(response, progress)
             finally:
                 self.chooser.finished(choice, outcome)
             if response is not None:
                 return Ok(response)
-            refusal = self._may_repeat(job, progress)
+            refusal = self._refusal_after_failure(job, progress)
             if refusal is not None:
-                return self._given_up(job, progress, self._told_when(job, refusal), request)
+                return self._give_up(job, progress, self._with_retry_after(job, refusal), request)
 
-    def _may_go_on(self, job: Job, progress: Progress) -> Refusal | None:
-        """Return why nothing may be sent now, None where it may."""
-        if job.deadline - monotonic() < MIN_LEFT_S:
+    def _refusal_before_attempt(self, job: Job, progress: Progress) -> Refusal | None:
+        """Return the refusal if nothing may be sent now, else None."""
+        if job.deadline - monotonic() < MIN_REMAINING_S:
             return Refusal(ErrorKind.DEADLINE, progress.ran)
-        if not self._fresh(job):
+        if not self._keys_fresh(job):
             return Refusal(ErrorKind.NOT_READY, progress.ran, "the configuration's view is too old")
         quarantined_s = self._quarantined_s(job)
         if quarantined_s > 0:
             return Refusal(ErrorKind.QUARANTINED, progress.ran, f"digest {job.digest}", quarantined_s)
         return None
 
-    def _told_when(self, job: Job, refusal: Refusal) -> Refusal:
-        """Return a refusal that gives the end of the rest, where no endpoint takes anything before that."""
-        rest_s = None if refusal.kind == ErrorKind.OVERLOADED else self.chooser.all_rest_s(job)
-        return refusal if rest_s is None else replace(refusal, retry_after_s=max(RETRY_AFTER_S, rest_s))
+    def _with_retry_after(self, job: Job, refusal: Refusal) -> Refusal:
+        """Return the refusal, with Retry-After set if all endpoints asked for back-off."""
+        backoff_s = None if refusal.kind == ErrorKind.OVERLOADED else self.chooser.retry_after_backoff_s(job)
+        return refusal if backoff_s is None else replace(refusal, retry_after_s=max(RETRY_AFTER_S, backoff_s))
 
     def _quarantined_s(self, job: Job) -> float:
-        """Return for how many more seconds nothing is sent of a job, because it crashes endpoints."""
+        """Return the seconds for which a job that crashes endpoints remains quarantined."""
         quarantine = self.state.quarantine
         return quarantine.remaining_s(job.digest) if quarantine.quarantined_by_digest else 0.0
 
-    def _fresh(self, job: Job) -> bool:
+    def _keys_fresh(self, job: Job) -> bool:
         return job.workspace is None or self.state.keys_fresh()
 
-    def _too_old(self, job: Job, choice: Choice) -> bool:
-        """Tell whether the weights a prompt was to run on were replaced too long ago by now."""
+    def _version_too_old(self, job: Job, choice: Choice) -> bool:
+        """Return whether the chosen engine's weights were replaced too long ago to start a prompt on them."""
         prompt = job.call.prompt
         if prompt is None or choice.placement is None:
             return False
         return self.state.version_too_old(prompt.model, choice.version or 0, choice.placement.first_token_s)
 
-    def _may_repeat(self, job: Job, progress: Progress) -> Refusal | None:
-        """Return why a failed job is not sent again, None where it is."""
+    def _refusal_after_failure(self, job: Job, progress: Progress) -> Refusal | None:
+        """Return the refusal if a failed job must not be retried, else None."""
         failure = progress.last
         assert failure is not None
         refusal = Refusal(failure.kind, progress.ran, failure.detail, retry_after_s=RETRY_AFTER_S)
         if failure.ran == ExecutionStatus.NOT_RUN and failure.status == 0:
-            # It never left this box, so that no endpoint saw it twice.
+            # The request never left this box, so that a retry needs no budget.
             return None if progress.refused < MAX_REFUSED else refusal
         if failure.ran != ExecutionStatus.NOT_RUN:
             if not job.route.may_run_again or progress.runs >= job.route.max_attempts:
@@ -153,32 +150,32 @@
     async def _attempt(
         self, job: Job, choice: Choice, progress: Progress, request: web.Request
     ) -> web.StreamResponse | None:
-        """Make one attempt. Return the caller's response, or None where it failed (`progress.last`)."""
+        """Make one attempt. Return the caller's response, or None if it failed (`progress.last`)."""
         attempt = Attempt(job.call.id, choice.endpoint.id)
-        held = self.state.endpoint_state(choice.endpoint)
-        begun = Begun(choice, attempt, held, monotonic())
-        # A router has already counted what it placed itself.
-        counted = choice.router == self.state.settings.id
-        held.in_flight += not counted
-        if choice.placement is not None and not counted:
-            held.waiting_tokens_by_request[job.call.id] = choice.placement.read
-            held.on_sent(choice.placement.read + choice.placement.fetched, begun.sent_at)
-        record_probe(held, begun.sent_at)
+        endpoint_state = self.state.endpoint_state(choice.endpoint)
+        begun = Begun(choice, attempt, endpoint_state, monotonic())
+        # The local router has already counted the prompts that it placed.
+        counted_by_local_router = choice.router == self.state.settings.id
+        endpoint_state.in_flight += not counted_by_local_router
+        if choice.placement is not None and not counted_by_local_router:
+            endpoint_state.waiting_tokens_by_request[job.call.id] = choice.placement.read
+            endpoint_state.on_sent(choice.placement.read + choice.placement.fetched, begun.sent_at)
+        record_probe(endpoint_state, begun.sent_at)
         record_sent(self.state, job, choice, progress)
         try:
             sent = await self._send(job, begun, progress)
-            self._take_statement(begun, sent)
+            self._apply_feedback(begun, sent)
             if isinstance(sent, Err):
-                self._failed(job, begun, progress, sent.err_value)
+                self._on_failed(job, begun, progress, sent.err_value)
                 return None
             begun.replied = True
             return await self._relay(job, begun, progress, sent.ok_value, request)
         finally:
-            held.in_flight -= not counted
-            held.waiting_tokens_by_request.pop(job.call.id, None)
+            endpoint_state.in_flight -= not counted_by_local_router
+            endpoint_state.waiting_tokens_by_request.pop(job.call.id, None)
 
-    def _take_statement(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
-        """Take in what an answer's head says of its endpoint, before any of it is passed on."""
+    def _apply_feedback(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
+        """Apply the endpoint's feedback in the head of a reply."""
         said = sent.err_value.said if isinstance(sent, Err) else sent.ok_value.said
         if said is not None:
             apply_feedback(self.state, begun.choice.endpoint, begun.held, said, begun.sent_at, monotonic())
@@ -189,11 +186,11 @@
         dispatch = self._dispatch(job, begun.choice, left_s, after)
 
         def guard() -> bool:
-            if not self._fresh(job) or job.deadline <= monotonic() or self._quarantined_s(job) > 0:
+            if not self._keys_fresh(job) or job.deadline <= monotonic() or self._quarantined_s(job) > 0:
                 return False
             if not takes_work(self.state, begun.choice.endpoint) or is_backing_off(begun.held, monotonic()):
                 return False
-            return not self._too_old(job, begun.choice)
+            return not self._version_too_old(job, begun.choice)
 
         return await self.endpoints.send(job.call, job.body, dispatch, begun.attempt, guard, left_s)
 
@@ -216,7 +213,7 @@
     async def _relay(
         self, job: Job, begun: Begun, progress: Progress, reply: Reply, request: web.Request
     ) -> web.StreamResponse | None:
-        """Pass an answer on. Return None where it broke off and might be tried elsewhere."""
+        """Relay a reply. Return None if the attempt failed and the job may be retried."""
         try:
             if reply.streamed and reply.status < SERVER_ERROR:
                 await relay_stream(
@@ -224,19 +221,21 @@
                     reply,
                     progress.stream,
                     job.deadline,
-                    on_first=lambda: self._on_first(job, begun),
+                    on_first=lambda: self._on_first_output(job, begun),
                     last_on_connection=self.state.should_close_connections,
                 )
                 response = progress.stream.response
                 assert response is not None
             elif progress.stream.response is not None:
-                # The caller already has the head of a stream: no other answer may follow it.
+                # The caller already has the head of a stream, which no other answer may follow.
                 raise BrokenAnswer(f"status {reply.status} in place of the rest of a stream")
             else:
                 body = await read_whole(reply, job.deadline)
-                if reply.status >= SERVER_ERROR and self._error_again(job, begun, progress, reply, body):
+                if reply.status >= SERVER_ERROR and self._handle_error_reply(
+                    job, begun, progress, reply, body
+                ):
                     return None
-                self._on_first(job, begun)
+                self._on_first_output(job, begun)
                 response = whole_response(reply, body)
         except (BrokenAnswer, TimeoutError) as error:
             kind = ErrorKind.DEADLINE if isinstance(error, TimeoutError) else ErrorKind.ENDPOINT_FAILED
@@ -244,28 +243,30 @@
             fault = kind != ErrorKind.DEADLINE
             detail = f"the answer broke off: {error}"
             failure = SendFailure(kind, begun.attempt.ran, detail, reply.status, fault=fault, broke=fault)
-            self._failed(job, begun, progress, failure)
+            self._on_failed(job, begun, progress, failure)
             return None
         finally:
             reply.close()
         begun.attempt.finish()
-        self._ended_well(job, begun, reply, progress)
+        self._on_succeeded(job, begun, reply, progress)
         return response
 
-    def _error_again(self, job: Job, begun: Begun, progress: Progress, reply: Reply, body: bytes) -> bool:
-        """Take in an endpoint's own error; tell whether the job is sent again instead of passing it on."""
+    def _handle_error_reply(
+        self, job: Job, begun: Begun, progress: Progress, reply: Reply, body: bytes
+    ) -> bool:
+        """Keep an endpoint's error reply. Return whether the job is retried instead of relaying it."""
         progress.kept_reply = (reply, body)
-        again = job.route.may_run_again and progress.runs + 1 < job.route.max_attempts
-        if not again:
+        should_retry = job.route.may_run_again and progress.runs + 1 < job.route.max_attempts
+        if not should_retry:
             return False
         begun.attempt.lose()
         failure = SendFailure(
             ErrorKind.ENDPOINT_FAILED, begun.attempt.ran, f"status {reply.status}", reply.status, fault=False
         )
-        self._failed(job, begun, progress, failure)
+        self._on_failed(job, begun, progress, failure)
         return True
 
-    def _on_first(self, job: Job, begun: Begun) -> None:
+    def _on_first_output(self, job: Job, begun: Begun) -> None:
         if begun.first_at is not None:
             return
         begun.first_at = monotonic()
@@ -275,10 +276,10 @@
         if placement is None or job.call.prompt is None:
             return
         record_prompt(self.state, job, placement)
-        self.chooser.was_read(begun.choice)
+        self.chooser.prefill_finished(begun.choice)
 
-    def _failed(self, job: Job, begun: Begun, progress: Progress, failure: SendFailure) -> None:
-        """Take in a failed attempt."""
+    def _on_failed(self, job: Job, begun: Begun, progress: Progress, failure: SendFailure) -> None:
+        """Record a failed attempt."""
         now = monotonic()
         progress.last = failure
         progress.ran = worst(progress.ran, failure.ran)
@@ -288,28 +289,30 @@
             begun.held.refused_until = now + BUSY_BACKOFF_S
         else:
             progress.runs += 1
-        if _speaks_against(failure):
+        if _counts_against_endpoint(failure):
             begun.held.on_outcome(True, now)
-            if _unreached(failure):
+            if _was_unreachable(failure):
                 begun.held.unreachable_at = now
         if failure.broke:
             self.crashes.connection_broken(job, begun, progress.stream.events)
         record_failed(self.state, job, begun, failure, now)
 
-    def _ended_well(self, job: Job, begun: Begun, reply: Reply, progress: Progress) -> None:
+    def _on_succeeded(self, job: Job, begun: Begun, reply: Reply, progress: Progress) -> None:
         now = monotonic()
         if reply.status < SERVER_ERROR:
             self.state.quarantine.record_served(job.digest)
         begun.held.on_outcome(False, now)
-        begun.held.response_time_s += WORK_WEIGHT * ((now - begun.sent_at) - begun.held.response_time_s)
+        begun.held.response_time_s += RESPONSE_TIME_WEIGHT * (
+            (now - begun.sent_at) - begun.held.response_time_s
+        )
         if reply.version is not None:
             begun.held.version = max(begun.held.version, reply.version)
         record_answered(self.state, job, begun, reply, progress, now)
 
-    def _given_up(
+    def _give_up(
         self, job: Job, progress: Progress, refusal: Refusal, request: web.Request
     ) -> Result[web.StreamResponse, Refusal]:
-        """End a job without success: with the endpoint's own error, a refusal, or a cut stream."""
+        """End a failed job with the endpoint's own error, a refusal, or a truncated stream."""
         if progress.stream.response is not None:
             cut(request)
             record_given_up(self.state, job, "cut", progress.ran, refusal)
@@ -318,50 +321,48 @@
             reply, body = progress.kept_reply
             record_given_up(self.state, job, "endpoint_error", progress.ran, refusal)
             return Ok(whole_response(reply, body))
-        return Err(truthful(refusal, progress.ran))
+        return Err(reconcile_status(refusal, progress.ran))
 
 
-def _may_wait(job: Job, come_back_s: float) -> bool:
-    """Tell whether a request that all endpoints hold back waits for its turn."""
-    until = job.arrived_at + job.route.objective_s * TURN_SHARE
-    return monotonic() + come_back_s < min(until, job.deadline - MIN_LEFT_S)
+def _can_wait(job: Job, retry_after_s: float) -> bool:
+    """Return whether a request that all endpoints throttle can wait and still meet its objective."""
+    until = job.arrived_at + job.route.objective_s * MAX_THROTTLE_WAIT_SHARE
+    return monotonic() + retry_after_s < min(until, job.deadline - MIN_REMAINING_S)
 
 
-def _no_endpoint(progress: Progress, come_back_s: float | None) -> Refusal:
-    if come_back_s is None:
+def _no_endpoint_refusal(progress: Progress, retry_after_s: float | None) -> Refusal:
+    if retry_after_s is None:
         return Refusal(ErrorKind.NO_ENDPOINT, progress.ran)
-    return all_held_back(come_back_s, progress.ran)
+    return all_throttled(retry_after_s, progress.ran)
 
 
-def _outcome(response: web.StreamResponse | None, progress: Progress) -> Outcome:
-    """Return what an attempt that has just ended says of its endpoint."""
+def _attempt_outcome(response: web.StreamResponse | None, progress: Progress) -> Outcome:
+    """Return what an attempt that has just ended tells about its endpoint."""
     failure = progress.last
     if response is not None or failure is None:
         return Outcome.DONE
     if failure.ran == ExecutionStatus.NOT_RUN and failure.status:
         return Outcome.TURNED_AWAY
     if failure.ran == ExecutionStatus.NOT_RUN:
-        return Outcome.UNREACHED if _unreached(failure) else Outcome.NOT_SENT
-    return Outcome.FAILED if _speaks_against(failure) else Outcome.DONE
+        return Outcome.UNREACHED if _was_unreachable(failure) else Outcome.NOT_SENT
+    return Outcome.FAILED if _counts_against_endpoint(failure) else Outcome.DONE
 
 
-def _unreached(failure: SendFailure) -> bool:
-    """Tell whether the endpoint took no connection."""
-    return failure.ran == ExecutionStatus.NOT_RUN and not failure.status and _speaks_against(failure)
+def _was_unreachable(failure: SendFailure) -> bool:
+    """Return whether no connection to the endpoint could be made."""
+    return failure.ran == ExecutionStatus.NOT_RUN and not failure.status and _counts_against_endpoint(failure)
 
 
-def _speaks_against(failure: SendFailure) -> bool:
-    """Tell whether a failed attempt counts as its endpoint's failure."""
+def _counts_against_endpoint(failure: SendFailure) -> bool:
+    """Return whether a failed attempt counts as its endpoint's failure."""
     return failure.fault and failure.kind != ErrorKind.DEADLINE
 
 
 def _most_backlog_s(job: Job, progress: Progress) -> float | None:
-    """Return the wait from which a request is refused at once, because every engine has more work than it
-    does in time; None for requests that are never refused for that.
+    """Return the backlog in seconds above which a request is shed, None for those that are never shed.
 
-    Only the least urgent kind is: the others are let in before it. Those that are let in are in time,
-    where otherwise all of them would be late.
+    Only first attempts of the lowest priority are shed, so that the others still meet their objectives.
     """
     if progress.tried or not job.catalog.least_urgent(job.route, job.service.id):
         return None
-    return job.route.objective_s * SHED_AT
+    return job.route.objective_s * SHED_BACKLOG_SHARE
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -1,7 +1,6 @@
-"""Chooses the endpoint of each prompt by asking one of the boxes that route for all.
+"""Chooses the endpoint of each request, for prompts by asking the boxes that act as routers.
 
-A router that does not answer in time is not asked for a while, and the next one is. Where none answers, the
-box decides by itself: between two engines drawn by chance, since its own view of them is poor.
+A router that does not answer in time is skipped for a while. If none answers, the box chooses by itself.
 """
 
 import asyncio
@@ -16,68 +15,65 @@
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.placement import EngineView, Placement
 from stairquay.core.routers import Member, routers_for
-from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint_choice import Choice, ChoiceRequest
 from stairquay.serving.evacuation import takes_work
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.links import Links
+from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
 from stairquay.serving.notices import NoticeSender
 from stairquay.serving.pacing import count_sent, retry_after_s
-from stairquay.serving.routing import RouterPart
 from stairquay.serving.saving import choose_and_save
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import backoffs_by_id, limit_of
 from stairquay.serving.telling import apply_peer_feedback, backoffs_for_router, feedback_for_peers
 
-ASK_S = 0.08
-"""Seconds for a router's answer: a way of 2 ms and 2 ms of a slow box's time, with room for a burst; a
-third of the shortest objective for a first token is 100 ms."""
+ROUTER_TIMEOUT_S = 0.08
+"""Seconds to wait for a router's answer, well below the objectives for a first token."""
 
 ROUTERS_ASKED = 2
-"""Routers asked for one prompt before the box decides by itself."""
+"""Most routers asked for one prompt before the box chooses by itself."""
 
-WAIT_SHARE = 0.35
-"""Share of the objective up to which a prompt waits for a part that an engine is reading for another one. It
-then reads its own part alone, and begins no later than if it had read all of it beside the other one. Worth
-0.014 of the payoff owed at high load (error 0.008, 12 paired runs): a sixth less is read again."""
+MAX_PREFILL_WAIT_SHARE = 0.35
+"""Share of the objective, from arrival, within which a prompt waits for the prefill of a part it shares."""
 
-SPILL_AT = 0.1
-"""Backlog, in objectives, from which a second router is asked: its data hall may be less busy."""
+SECOND_ROUTER_BACKLOG_SHARE = 0.1
+"""Backlog, as a share of the objective, above which a second router is asked for a shorter one."""
 
 
 class Chooser:
-    """Chooses the endpoint of each request: by itself, or by asking a router."""
+    """Chooses endpoints with the help of routers, and tells them when requests end."""
 
     def __init__(
-        self, state: BoxState, links: Links, part: RouterPart, notices: NoticeSender, random: Random
+        self, state: BoxState, links: Links, local_router: LocalRouter, notices: NoticeSender, random: Random
     ) -> None:
         self.state = state
         self.links = links
-        self.part = part
+        self.local_router = local_router
         self.notices = notices
         self.random = random
 
     async def choose(self, job: Job, progress: Progress, most_backlog_s: float | None) -> Choice | None:
-        """Return where a job goes, None where no endpoint can take it.
+        """Return the endpoint for a job, None if no endpoint can take it.
 
-        most_backlog_s: a longer wait than that makes the sender give it up; None where it does not.
+        most_backlog_s: backlog above which the caller rejects the job; None if it never does.
         """
         prompt = job.call.prompt
         if prompt is None or job.service.engine is None:
-            return self._choose_here(job, progress)
-        wait_until = job.arrived_at + job.route.objective_s * WAIT_SHARE
-        waits = False
+            return self._choose_locally(job, progress)
+        wait_until = job.arrived_at + job.route.objective_s * MAX_PREFILL_WAIT_SHARE
+        wait_logged = False
         while True:
             may_wait = not progress.tried and monotonic() < wait_until
-            asked = self._question(job, prompt, progress, most_backlog_s, may_wait)
-            best = await self._ask_routers(job, prompt, asked, progress)
+            request = self._place_request(job, prompt, progress, most_backlog_s, may_wait)
+            best = await self._ask_routers(job, prompt, request, progress)
             if best is None:
-                return self._choose_here(job, progress)
+                return self._choose_locally(job, progress)
             if not best.again_s:
                 return best
-            if not waits:
-                waits = True
+            if not wait_logged:
+                wait_logged = True
                 self._log_wait(job, best, wait_until)
             await asyncio.sleep(best.again_s)
 
@@ -85,42 +81,42 @@
         most_s = wait_until - monotonic()
         why = "its parts are being read for another prompt"
         self.state.log.line(
-            Decision.WAITS, job.call.id, router=choice.router, why=why, again_s=choice.again_s, most_s=most_s
+            LogEvent.WAITS, job.call.id, router=choice.router, why=why, again_s=choice.again_s, most_s=most_s
         )
 
     async def _ask_routers(
-        self, job: Job, prompt: PromptShape, asked: PlaceRequest, progress: Progress
+        self, job: Job, prompt: PromptShape, request: PlaceRequest, progress: Progress
     ) -> Choice | None:
         best: Choice | None = None
         progress.come_back_s = None
         for router in routers_for(self.state.member, self.state.placing_routers())[:ROUTERS_ASKED]:
-            choice = await self._place(router, asked, prompt, progress)
-            best = self._better(best, choice)
-            if best is not None and best.backlog_s <= SPILL_AT * job.route.objective_s:
+            choice = await self._place(router, request, prompt, progress)
+            best = self._keep_shorter_wait(best, choice)
+            if best is not None and best.backlog_s <= SECOND_ROUTER_BACKLOG_SHARE * job.route.objective_s:
                 return best
         return best
 
-    def was_read(self, choice: Choice) -> None:
-        """Take in that an engine has read a prompt: its answer begins."""
+    def prefill_finished(self, choice: Choice) -> None:
+        """Tell the router that the engine has prefilled a prompt."""
         router = next((item for item in self.state.routers if item.id == choice.router), None)
         if router is not None:
             self.notices.add_prefill_finished(router, choice.ticket)
 
     def finished(self, choice: Choice, outcome: Outcome = Outcome.DONE) -> None:
-        """Take in that a request has left the endpoint it was placed on, and how."""
+        """Tell the router that a request has ended at its endpoint, and with which outcome."""
         router = next((item for item in self.state.routers if item.id == choice.router), None)
         if router is not None:
             self.notices.add_ended(router, Ended(choice.ticket, outcome))
 
     async def _place(
-        self, router: Member, asked: PlaceRequest, prompt: PromptShape, progress: Progress
+        self, router: Member, request: PlaceRequest, prompt: PromptShape, progress: Progress
     ) -> Choice | None:
-        """Return a router's choice, None where there is none that this box may use."""
+        """Return a router's choice, None if it has none that this box may use."""
         try:
-            reply = await self._ask_knowing(router, asked)
+            reply = await self._ask_with_feedback(router, request)
         except asyncio.CancelledError:
-            # The caller left meanwhile.
-            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            # The caller has disconnected.
+            self.notices.add_ended(router, Ended(request.ticket, Outcome.NOT_SENT))
             raise
         if reply is None:
             return None
@@ -128,37 +124,38 @@
             if reply.come_back_s > 0:
                 progress.come_back_s = min(reply.come_back_s, progress.come_back_s or reply.come_back_s)
             return None
-        endpoint = self._usable(reply, prompt)
+        endpoint = self._usable_endpoint(reply, prompt)
         if endpoint is None:
-            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, Ended(request.ticket, Outcome.NOT_SENT))
             return None
-        return _choice(endpoint, reply, router.id, asked.ticket)
+        return _choice_from_reply(endpoint, reply, router.id, request.ticket)
 
-    def _better(self, first: Choice | None, second: Choice | None) -> Choice | None:
-        """Return the choice with the shorter wait, and give up the other."""
+    def _keep_shorter_wait(self, first: Choice | None, second: Choice | None) -> Choice | None:
+        """Return the choice with the smaller backlog, and release the other."""
         if first is None or second is None:
             return first or second
         better, worse = (first, second) if first.backlog_s <= second.backlog_s else (second, first)
         self.finished(worse, Outcome.NOT_SENT)
         return better
 
-    async def _ask_knowing(self, router: Member, asked: PlaceRequest) -> PlaceReply | None:
-        """Ask a router, and once more where it did not know what an endpoint had said to this box: only one
-        that knows of a limit counts what it places there, also right after it started or took it over."""
-        reply = await self._ask(router, asked)
-        if reply is None or not self._unaware(reply):
+    async def _ask_with_feedback(self, router: Member, request: PlaceRequest) -> PlaceReply | None:
+        """Ask a router, and once more with this box's feedback from the chosen endpoint if it lacks that.
+
+        A router counts requests against an endpoint's rate limit only if it knows that limit.
+        """
+        reply = await self._ask(router, request)
+        if reply is None or not self._lacks_feedback(reply):
             return reply
-        told = feedback_for_peers(self.state, monotonic(), frozenset((reply.endpoint,)))
-        reply = await self._ask(router, structs.replace(asked, said=told))
-        if reply is not None and (not reply.endpoint or self._unaware(reply)):
-            # What it placed at first is not sent.
-            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
+        feedback = feedback_for_peers(self.state, monotonic(), frozenset((reply.endpoint,)))
+        reply = await self._ask(router, structs.replace(request, said=feedback))
+        if reply is not None and (not reply.endpoint or self._lacks_feedback(reply)):
+            # Release the first placement, which is not used.
+            self.notices.add_ended(router, Ended(request.ticket, Outcome.NOT_SENT))
             return PlaceReply(come_back_s=reply.come_back_s)
         return reply
 
-    def _unaware(self, reply: PlaceReply) -> bool:
-        """Tell whether a router chose an endpoint without knowing what it said to this box: a limit, that it
-        leaves, or that it wants rest."""
+    def _lacks_feedback(self, reply: PlaceReply) -> bool:
+        """Return whether a router doesn't know what its chosen endpoint told this box about its use."""
         state, now = self.state, monotonic()
         if reply.said is not None:
             apply_peer_feedback(state, (reply.said,), now)
@@ -172,18 +169,18 @@
             return True
         return endpoint.id in backoffs_by_id(state, now)
 
-    async def _ask(self, router: Member, asked: PlaceRequest) -> PlaceReply | None:
+    async def _ask(self, router: Member, request: PlaceRequest) -> PlaceReply | None:
         if router.id == self.state.settings.id:
-            return self.part.place(asked)
-        answer = await self.links.to(router).place(asked, ASK_S)
+            return self.local_router.place(request)
+        answer = await self.links.to(router).place(request, ROUTER_TIMEOUT_S)
         reply = self.links.heard(router, answer, "where a prompt runs")
         if reply is None:
-            # It may have placed the prompt all the same.
-            self.notices.add_ended(router, Ended(asked.ticket, Outcome.NOT_SENT))
+            # It may have placed the prompt and only answered too late.
+            self.notices.add_ended(router, Ended(request.ticket, Outcome.NOT_SENT))
         return reply
 
-    def _usable(self, reply: PlaceReply, prompt: PromptShape) -> Endpoint | None:
-        """Return the endpoint that a router chose, None where this box knows that it must not be used."""
+    def _usable_endpoint(self, reply: PlaceReply, prompt: PromptShape) -> Endpoint | None:
+        """Return the endpoint that a router chose, None if this box knows that it must not be used."""
         usable = self.state.fleet.by_id.get(reply.endpoint)
         if usable is None or usable.id in self.state.fleet.missing_since_by_id:
             return None
@@ -192,35 +189,38 @@
         too_old = self.state.version_too_old(prompt.model, reply.version or 0, reply.first_token_s)
         return None if too_old else usable
 
-    def _choose_here(self, job: Job, progress: Progress) -> Choice | None:
-        tried, rests_s = frozenset(progress.tried), backoffs_by_id(self.state, monotonic())
-        wanted = ChoiceRequest(job.service, job.call.prompt, job.workspace, tried, backoffs_s=rests_s)
+    def _choose_locally(self, job: Job, progress: Progress) -> Choice | None:
+        tried, backoffs_s = frozenset(progress.tried), backoffs_by_id(self.state, monotonic())
+        wanted = ChoiceRequest(job.service, job.call.prompt, job.workspace, tried, backoffs_s=backoffs_s)
         choice = choose_and_save(self.state, job.catalog, wanted, self.random)
         if choice is not None:
             count_sent(self.state, choice.endpoint, monotonic(), self.random)
         return choice
 
-    def come_back_s(self, job: Job, progress: Progress) -> float | None:
-        """Return the seconds after which an endpoint takes a job that none takes now, as a router says, or
-        this box where none was asked; None where none is held back for having got what it takes, or for
-        wanting rest."""
+    def retry_after_s(self, job: Job, progress: Progress) -> float | None:
+        """Return the seconds until an endpoint is expected to accept the job, None if none is throttled.
+
+        The routers' estimate counts; without one, this box makes its own.
+        """
         if progress.come_back_s is not None:
             return progress.come_back_s
         now = monotonic()
-        rests_s = backoffs_by_id(self.state, now)
-        return retry_after_s(self.state, job.service.id, progress.tried, rests_s, now, self.random)
+        backoffs_s = backoffs_by_id(self.state, now)
+        return retry_after_s(self.state, job.service.id, progress.tried, backoffs_s, now, self.random)
+
+    def retry_after_backoff_s(self, job: Job) -> float | None:
+        """Return the seconds until the first back-off ends, None unless all endpoints asked for one.
 
-    def all_rest_s(self, job: Job) -> float | None:
-        """Return the seconds after which the caller of a job should come back that is refused while all
-        endpoints want rest from this box, those included that turned it away; None where one does not."""
+        Endpoints that refused this job count as well.
+        """
         state, now = self.state, monotonic()
-        rests_s = backoffs_by_id(state, now)
+        backoffs_s = backoffs_by_id(state, now)
         usable = [item for item in state.fleet.usable(job.service.id, now) if takes_work(state, item)]
-        if not usable or any(item.id not in rests_s for item in usable):
+        if not usable or any(item.id not in backoffs_s for item in usable):
             return None
-        return retry_after_s(state, job.service.id, (), rests_s, now, self.random)
+        return retry_after_s(state, job.service.id, (), backoffs_s, now, self.random)
 
-    def _question(
+    def _place_request(
         self,
         job: Job,
         prompt: PromptShape,
@@ -245,7 +245,7 @@
         )
 
 
-def _choice(endpoint: Endpoint, reply: PlaceReply, router: str, ticket: str) -> Choice:
+def _choice_from_reply(endpoint: Endpoint, reply: PlaceReply, router: str, ticket: str) -> Choice:
     engine = EngineView(id=endpoint.id, address=endpoint.address, resident=())
     placement = Placement(
         engine, reply.fetch_from, reply.reused, reply.fetched, reply.read, reply.first_token_s
--- /dev/null
+++ b/stairquay/serving/local_router.py
@@ -0,0 +1,377 @@
+"""Places prompts for other boxes and forwards them its views of the platform, while this box is a router.
+
+Its answers affect latency only: the sending box checks keys, endpoints and versions itself.
+"""
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from random import Random
+
+import grpc
+
+from stairquay.adapters.clock import monotonic
+from stairquay.core.call import Part, PromptShape
+from stairquay.core.catalog import WorkspaceRule
+from stairquay.core.fleet import Endpoint
+from stairquay.core.holdings import Key
+from stairquay.core.placement import read_s
+from stairquay.core.routers import Engine, engines_of
+from stairquay.serving.cold import cold_for_s
+from stairquay.serving.crash_rows import STALE_S
+from stairquay.serving.endpoint import BUSY_BACKOFF_S, EndpointState
+from stairquay.serving.endpoint_choice import Choice, ChoiceRequest
+from stairquay.serving.event_log import LogEvent
+from stairquay.serving.links import Answers, serve
+from stairquay.serving.messages import (
+    CrashesTold,
+    CrashTold,
+    Ended,
+    EndpointsReply,
+    EndpointsRequest,
+    FinishedNotice,
+    Nothing,
+    OperatorsReply,
+    OperatorsRequest,
+    Outcome,
+    PlaceReply,
+    PlaceRequest,
+    ViewsReply,
+    ViewsRequest,
+)
+from stairquay.serving.pacing import count_sent, refund_sent, retry_after_s
+from stairquay.serving.ports import EndpointChanges, OperatorChanges
+from stairquay.serving.saving import choose_and_save
+from stairquay.serving.state import BoxState
+from stairquay.serving.telling import apply_peer_feedback, feedback_for_peers, limit_feedback
+
+ROLE_CHECK_INTERVAL_S = 0.25
+"""Seconds between two updates of this box's role and its share of the engines."""
+
+PLACEMENT_TTL_S = 20.0
+"""Seconds after which a placed prompt counts as ended although its box sent no notice. Longer than the usual
+time limits of routes."""
+
+PREFILL_POLL_S = 0.05
+"""Seconds after which a sender asks again while a part that its prompt shares is being prefilled."""
+
+PREFILL_TIMEOUT_S = 1.0
+"""Seconds after which an unfinished prefill is no longer waited for."""
+
+MIN_SHARED_PREFILL_TOKENS = 2_000
+"""Fewest tokens in prefill for other prompts that are worth waiting for."""
+
+
+@dataclass(frozen=True)
+class PlacedPrompt:
+    """A prompt placed on an endpoint.
+
+    at: when, in monotonic seconds. shared_parts: parts that other prompts may reuse, with their tokens.
+    rate_limited: it was counted against the endpoint's rate limit.
+    """
+
+    at: float
+    endpoint_state: EndpointState
+    expected_prefill_s: float
+    tokens: int
+    address: str = ""
+    shared_parts: tuple[tuple[Key, int], ...] = ()
+    rate_limited: bool = False
+
+
+class LocalRouter:
+    """Places prompts and serves views while this box is a router."""
+
+    def __init__(self, state: BoxState, random: Random) -> None:
+        self.state = state
+        self.random = random
+        self.placed_by_ticket: dict[str, PlacedPrompt] = {}
+        self.prefill_ticket_by_key: dict[Key, str] = {}
+        self.server: grpc.aio.Server | None = None
+
+    async def run(self) -> None:
+        """Serve whenever this box is a router, until cancelled."""
+        try:
+            while True:
+                await self._update_role()
+                if self.state.is_router or self.server is not None or self.placed_by_ticket:
+                    await asyncio.sleep(ROLE_CHECK_INTERVAL_S)
+                else:
+                    await self.state.changed.wait_for(lambda: self.state.is_router)
+        finally:
+            await self._close()
+
+    def place(self, request: PlaceRequest) -> PlaceReply:
+        """Choose an engine for a prompt, and count it there until the sender reports its end."""
+        now = monotonic()
+        apply_peer_feedback(self.state, request.said, now)
+        backoffs_s = {item.endpoint: item.rest_s for item in request.said if item.rest_s > 0}
+        choice = self._choose(request, backoffs_s)
+        if choice is None or choice.placement is None:
+            earliest_retry_s = retry_after_s(
+                self.state, request.service, request.tried, backoffs_s, now, self.random
+            )
+            return PlaceReply(come_back_s=earliest_retry_s or 0.0)
+        said = limit_feedback(choice.endpoint, self.state.endpoint_state(choice.endpoint), now)
+        rejected = request.most_backlog_s is not None and choice.backlog_s > request.most_backlog_s
+        if not rejected and request.may_wait and self._awaits_shared_prefill(choice, request):
+            return PlaceReply(endpoint=choice.endpoint.id, version=choice.version, again_s=PREFILL_POLL_S)
+        if not rejected:
+            self._record_placement(request, choice)
+        placement = choice.placement
+        return PlaceReply(
+            endpoint=choice.endpoint.id,
+            version=choice.version,
+            scope=choice.scope,
+            fetch_from=placement.fetch_from,
+            save_to=choice.save_to,
+            fetch_until_ms=choice.fetch_until_ms,
+            reused=placement.reused,
+            fetched=placement.fetched,
+            read=placement.read,
+            first_token_s=placement.first_token_s,
+            alternative_s=choice.alternative_s,
+            backlog_s=choice.backlog_s,
+            said=said,
+        )
+
+    def prefill_finished(self, ticket: str) -> None:
+        """Expect the shared parts of a prompt in its engine's cache from now on."""
+        placed = self.placed_by_ticket.get(ticket)
+        if placed is None:
+            return
+        self._forget_prefill(ticket, placed)
+        for (scope, part), tokens in placed.shared_parts:
+            self.state.holdings.expect(placed.address, scope, part, tokens)
+
+    def _awaits_shared_prefill(self, choice: Choice, request: PlaceRequest) -> bool:
+        """Return whether other prompts' prefills will soon provide enough of this prompt's parts."""
+        placement = choice.placement
+        assert placement is not None
+        now = monotonic()
+        shared_tokens = 0
+        for index, part in enumerate(request.parts[:-1]):
+            if placement.engine.resident[index] >= part.tokens or placement.fetch_from[index]:
+                continue
+            prefilling = self.placed_by_ticket.get(
+                self.prefill_ticket_by_key.get((choice.scope, part.id), "")
+            )
+            if prefilling is not None and now - prefilling.at < PREFILL_TIMEOUT_S:
+                shared_tokens += part.tokens
+        return shared_tokens >= MIN_SHARED_PREFILL_TOKENS
+
+    def _forget_prefill(self, ticket: str, placed: PlacedPrompt) -> None:
+        for key, _ in placed.shared_parts:
+            if self.prefill_ticket_by_key.get(key) == ticket:
+                del self.prefill_ticket_by_key[key]
+
+    def finished(self, ended: Ended) -> None:
+        """Stop counting a prompt on its engine, and record the outcome."""
+        placed = self.placed_by_ticket.pop(ended.ticket, None)
+        if placed is not None:
+            self._forget_prefill(ended.ticket, placed)
+        if placed is None:
+            return
+        endpoint_state, now = placed.endpoint_state, monotonic()
+        endpoint_state.in_flight = max(0, endpoint_state.in_flight - 1)
+        if ended.outcome in (Outcome.NOT_SENT, Outcome.TURNED_AWAY, Outcome.UNREACHED):
+            endpoint_state.revert_placed(placed.expected_prefill_s, placed.tokens, placed.at)
+            if placed.rate_limited and ended.outcome != Outcome.TURNED_AWAY:
+                refund_sent(endpoint_state)
+        if ended.outcome == Outcome.TURNED_AWAY:
+            endpoint_state.refused_until = now + BUSY_BACKOFF_S
+        if ended.outcome == Outcome.UNREACHED:
+            endpoint_state.unreachable_at = now
+        if ended.outcome in (Outcome.DONE, Outcome.FAILED, Outcome.UNREACHED):
+            endpoint_state.on_outcome(ended.outcome != Outcome.DONE, now)
+
+    def _choose(self, request: PlaceRequest, backoffs_s: dict[str, float]) -> Choice | None:
+        catalog = self.state.catalog
+        service = None if catalog is None else catalog.services_by_id.get(request.service)
+        if catalog is None or service is None:
+            return None
+        parts = tuple(Part(part.id, part.tokens) for part in request.parts)
+        prompt = PromptShape(request.model, parts, request.tokens, request.max_output)
+        workspace = WorkspaceRule(request.wall, isolated=True) if request.wall else None
+        wanted = ChoiceRequest(service, prompt, workspace, frozenset(request.tried), request.box, backoffs_s)
+        return choose_and_save(self.state, catalog, wanted, self.random)
+
+    def _record_placement(self, request: PlaceRequest, choice: Choice) -> None:
+        now = monotonic()
+        placement = choice.placement
+        assert placement is not None
+        self.finished(Ended(request.ticket, Outcome.NOT_SENT))
+        expected_prefill_s = read_s(placement.read, request.tokens)
+        address = choice.endpoint.address
+        shared_parts = tuple(((choice.scope, part.id), part.tokens) for part in request.parts[:-1])
+        endpoint_state = self.state.endpoint_state(choice.endpoint)
+        rate_limited = count_sent(self.state, choice.endpoint, now, self.random)
+        placed = PlacedPrompt(
+            now, endpoint_state, expected_prefill_s, request.tokens, address, shared_parts, rate_limited
+        )
+        self.placed_by_ticket[request.ticket] = placed
+        for key, _ in shared_parts:
+            self.prefill_ticket_by_key.setdefault(key, request.ticket)
+        endpoint_state.in_flight += 1
+        endpoint_state.on_placed(placed.expected_prefill_s, now)
+        # Cached parts count as well, since they can't be evicted while the prompt runs.
+        endpoint_state.on_sent(request.tokens, now)
+
+    async def _update_role(self) -> None:
+        state = self.state
+        is_router = state.is_router
+        if is_router and self.server is None and not state.stopping:
+            await self._open()
+        if self.server is not None and (not is_router or state.stopping):
+            await self._close()
+        state.routed_engines = self._engines() if is_router else frozenset()
+        self._expire(monotonic())
+
+    def _engines(self) -> frozenset[str]:
+        """Return the engines assigned to this router, with its share of those of suspected routers.
+
+        Engines in evacuated data halls stay assigned, so that their caches are known when the hall returns.
+        """
+        catalog, state = self.state.catalog, self.state
+        if catalog is None:
+            return frozenset()
+        engines = [
+            Engine(item.id, item.data_hall)
+            for item in state.fleet.by_id.values()
+            if catalog.engine_of(item.service) is not None and not item.leaving
+        ]
+        active = [item for item in engines if item.data_hall not in state.evacuated]
+        evacuated = [item for item in engines if item.data_hall in state.evacuated]
+        own = state.settings.id
+        return engines_of(own, active, state.placing_routers()) | engines_of(
+            own, evacuated, state.live_routers()
+        )
+
+    def _expire(self, now: float) -> None:
+        """Stop counting prompts whose time to live has passed."""
+        for ticket, placed in list(self.placed_by_ticket.items()):
+            if now - placed.at < PLACEMENT_TTL_S:
+                break
+            self.finished(Ended(ticket))
+
+    async def _open(self) -> None:
+        address = self.state.settings.peer_address
+        answers = Answers(
+            self._on_place, self._on_finished, self._on_operators, self._on_endpoints, self._on_views
+        )
+        try:
+            self.server = await serve(address, answers)
+        except OSError as error:
+            self.state.log.line(LogEvent.ROUTER, outcome="cannot_serve", address=address, detail=str(error))
+            return
+        self.state.log.line(LogEvent.ROUTER, outcome="serving", address=address, boxes=len(self.state.boxes))
+
+    async def _close(self) -> None:
+        if self.server is None:
+            return
+        server, self.server = self.server, None
+        await server.stop(grace=None)
+        self.state.log.line(LogEvent.ROUTER, outcome="closed")
+
+    async def _on_place(self, request: PlaceRequest) -> PlaceReply:
+        return self.place(request)
+
+    async def _on_finished(self, notice: FinishedNotice) -> Nothing:
+        apply_peer_feedback(self.state, notice.said, monotonic())
+        for ticket in notice.read:
+            self.prefill_finished(ticket)
+        for ended in notice.ended:
+            self.finished(ended)
+        return Nothing()
+
+    async def _on_operators(self, request: OperatorsRequest) -> OperatorsReply:
+        received_at = monotonic()
+        apply_peer_feedback(self.state, request.said, received_at)
+        await self._long_poll(lambda: self._operators_valid_for_s(request), request.wait_s)
+        return self._operators_reply(request, received_at)
+
+    async def _on_endpoints(self, request: EndpointsRequest) -> EndpointsReply:
+        await self._long_poll(lambda: self._endpoints_valid_for_s(request), request.wait_s)
+        return self._endpoints_reply(request)
+
+    async def _on_views(self, request: ViewsRequest) -> ViewsReply:
+        received_at = monotonic()
+        apply_peer_feedback(self.state, request.operators.said, received_at)
+
+        def valid_for_s() -> float:
+            return min(
+                self._operators_valid_for_s(request.operators), self._endpoints_valid_for_s(request.endpoints)
+            )
+
+        await self._long_poll(valid_for_s, min(request.operators.wait_s, request.endpoints.wait_s))
+        operators = self._operators_reply(request.operators, received_at)
+        return ViewsReply(operators, self._endpoints_reply(request.endpoints))
+
+    def _operators_valid_for_s(self, request: OperatorsRequest) -> float:
+        """Return the seconds until the view of operators' rows needs a new reply, 0 if it has changed."""
+        state = self.state
+        return (
+            0.0
+            if state.operators_changed_revision > request.after
+            else state.view_valid_for_s(state.view_age())
+        )
+
+    def _endpoints_valid_for_s(self, request: EndpointsRequest) -> float:
+        """Return the seconds until the list of endpoints needs a new reply, 0 if it has changed."""
+        state = self.state
+        return (
+            0.0 if state.list_changed_revision > request.after else state.list_valid_for_s(state.list_age())
+        )
+
+    def _operators_reply(self, request: OperatorsRequest, received_at: float) -> OperatorsReply:
+        state = self.state
+        revision = state.operators_revision
+        if state.operators_changed_revision > request.after:
+            named, evacuated = dict(state.target_version_by_model), tuple(sorted(state.evacuated))
+            changes = OperatorChanges(revision, True, state.catalog, "", named, evacuated=evacuated)
+        else:
+            changes = OperatorChanges(revision, False)
+        changed, crashes = self._crashes_since(request.crashes_known)
+        now = monotonic()
+        said = feedback_for_peers(state, now, frozenset(item.endpoint for item in request.said))
+        return OperatorsReply(changes, state.view_age(), now - received_at, changed, crashes, said)
+
+    def _crashes_since(self, known: int) -> tuple[int, CrashesTold | None]:
+        """Return the revision of the last change to the crash rows, and the crashes if that isn't `known`."""
+        quarantine, now = self.state.quarantine, monotonic()
+        if quarantine.rows_revision < 0 or now - quarantine.rows_asked_at > STALE_S:
+            return -1, None
+        if quarantine.rows_changed_revision == known:
+            return known, None
+        report = quarantine.report_to_forward()
+        crashes = tuple(
+            CrashTold(crash.digest, crash.life, now - crash.at, crash.ran_s, crash.events)
+            for crash in report.crashes
+        )
+        cleared = tuple((digest, now - at) for digest, at in report.cleared.items())
+        return quarantine.rows_changed_revision, CrashesTold(crashes, cleared)
+
+    def _endpoints_reply(self, request: EndpointsRequest) -> EndpointsReply:
+        state = self.state
+        if state.list_changed_revision > request.after:
+            changes = EndpointChanges(state.list_revision, True, self._listed_endpoints())
+        else:
+            changes = EndpointChanges(state.list_revision, False)
+        return EndpointsReply(changes, state.list_age())
+
+    def _listed_endpoints(self) -> tuple[Endpoint, ...]:
+        """Return the live endpoints, with the seconds for which cold ones remain cold."""
+        now = monotonic()
+
+        def as_of_now(endpoint: Endpoint) -> Endpoint:
+            if not endpoint.cold:
+                return endpoint
+            return replace(endpoint, cold_s=cold_for_s(self.state, endpoint, now))
+
+        return tuple(as_of_now(item) for item in self.state.fleet.live())
+
+    async def _long_poll(self, valid_for_s: Callable[[], float], limit_s: float) -> None:
+        """Wait until the reply would differ or expire, at most `limit_s` seconds."""
+        end = monotonic() + limit_s
+        while (left_s := min(valid_for_s(), end - monotonic())) > 0:
+            await self.state.changed.wait(left_s)
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -10,8 +10,8 @@
 from stairquay.core.routers import Member
 from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.links import Links
+from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import Ended, FinishedNotice
-from stairquay.serving.routing import RouterPart
 from stairquay.serving.state import BoxState
 from stairquay.serving.telling import feedback_for_peers
 
@@ -31,7 +31,7 @@
 class NoticeSender:
     """Queues ended and prefilled prompts by router, and sends them in notices."""
 
-    def __init__(self, state: BoxState, links: Links, local_router: RouterPart) -> None:
+    def __init__(self, state: BoxState, links: Links, local_router: LocalRouter) -> None:
         self.state = state
         self.links = links
         self.local_router = local_router
@@ -81,7 +81,7 @@
     def add_prefill_finished(self, router: Member, ticket: str) -> None:
         """Queue that a prompt's prefill has finished; dropped if the router is unresponsive."""
         if router.id == self.state.settings.id:
-            self.local_router.was_read(ticket)
+            self.local_router.prefill_finished(ticket)
             return
         self.ended_by_router.setdefault(router, [])
         self.prefilled_by_router.setdefault(router, []).append(ticket)
--- a/stairquay/serving/quarantine.py
+++ b/stairquay/serving/quarantine.py
@@ -11,8 +11,8 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.crashes import KEPT_S, Crash, Quarantined, quarantined, unexplained
 from stairquay.serving.change_notifier import ChangeNotifier
-from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.endpoint import NEVER
+from stairquay.serving.event_log import EventLog, LogEvent
 
 MAX_OWN_CRASHES = 64
 """Crashes that a box publishes in its row (6 kB)."""
@@ -58,7 +58,7 @@
     date. Times are in monotonic seconds.
     """
 
-    def __init__(self, log: DecisionLog) -> None:
+    def __init__(self, log: EventLog) -> None:
         self.log = log
         self.own_crashes: dict[tuple[str, str], Crash] = {}
         self.cleared: dict[str, float] = {}
@@ -160,7 +160,7 @@
         now = monotonic()
         for digest in digests:
             self.cleared[digest] = now
-            self.log.line(Decision.QUARANTINE, outcome="cleared", digest=digest)
+            self.log.line(LogEvent.QUARANTINE, outcome="cleared", digest=digest)
         self._prune_own_crashes(now)
         self._mark_unpublished()
         self._update_quarantine()
@@ -208,9 +208,9 @@
         before, self.quarantined_by_digest = self.quarantined_by_digest, quarantined(crashes, monotonic())
         for digest in self.quarantined_by_digest.keys() - before.keys():
             incarnations = [crash.life for crash in self.quarantined_by_digest[digest].crashes]
-            self.log.line(Decision.QUARANTINE, outcome="begun", digest=digest, crashed=incarnations)
+            self.log.line(LogEvent.QUARANTINE, outcome="begun", digest=digest, crashed=incarnations)
         for digest in before.keys() - self.quarantined_by_digest.keys():
-            self.log.line(Decision.QUARANTINE, outcome="ended", digest=digest)
+            self.log.line(LogEvent.QUARANTINE, outcome="ended", digest=digest)
 
     def _prune_own_crashes(self, now: float) -> None:
         """Drop own crashes and clearances that are expired, cleared, or beyond MAX_OWN_CRASHES."""
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -10,8 +10,8 @@
 from stairquay.core.routers import Member, capacity, followers, placing
 from stairquay.core.versions import VersionHistory
 from stairquay.serving.change_notifier import ChangeNotifier
-from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.endpoint import NEVER, EndpointState
+from stairquay.serving.event_log import EventLog, LogEvent
 from stairquay.serving.metrics import BoxMetrics
 from stairquay.serving.ports import EngineReport
 from stairquay.serving.quarantine import Quarantine
@@ -62,7 +62,7 @@
     """
 
     settings: BoxSettings
-    log: DecisionLog
+    log: EventLog
     metrics: BoxMetrics = field(default_factory=BoxMetrics)
     catalog: Catalog | None = None
     view_asked_at: float = NEVER
@@ -238,7 +238,7 @@
             return endpoint_state
         self.holdings.forget(endpoint.address)
         self.log.line(
-            Decision.BORN_ANEW, endpoint=endpoint.id, born=born, before=endpoint_state.born, source=source
+            LogEvent.BORN_ANEW, endpoint=endpoint.id, born=born, before=endpoint_state.born, source=source
         )
         new_state = EndpointState(born=born, known_since=monotonic())
         self.endpoints_by_id[endpoint.id] = new_state
@@ -259,7 +259,7 @@
         if after is not None and (before is None or before - after > CLOCK_TOLERANCE_S):
             age_s = monotonic() - after
             self.log.line(
-                Decision.VERSION_NAMED, model=model, version=version, named_s_ago=age_s, source=source
+                LogEvent.VERSION_NAMED, model=model, version=version, named_s_ago=age_s, source=source
             )
 
     def last_view_at(self) -> float | None:
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -10,8 +10,8 @@
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED, LimitNews, newer
 from stairquay.core.rest import Rest
-from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import EndpointState
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.ports import Statement, Topic
 from stairquay.serving.state import BoxState
 
@@ -49,7 +49,7 @@
         return
     listed = state.fleet.by_id.get(endpoint_id)
     state.log.line(
-        Decision.LEAVING,
+        LogEvent.LEAVING,
         endpoint=endpoint_id,
         service=None if listed is None else listed.service,
         outcome="said",
@@ -77,7 +77,7 @@
         if backoff is not None and sent_at >= backoff.until:
             endpoint_state.backoff = None
             state.backing_off.discard(endpoint.id)
-            state.log.line(Decision.REST, endpoint=endpoint.id, service=endpoint.service, outcome="ended")
+            state.log.line(LogEvent.REST, endpoint=endpoint.id, service=endpoint.service, outcome="ended")
         return
     if backoff is not None and backoff.until >= now + backoff_s:
         return
@@ -85,7 +85,7 @@
     endpoint_state.backoff = Rest(now + backoff_s + delay_s)
     state.backing_off.add(endpoint.id)
     state.log.line(
-        Decision.REST,
+        LogEvent.REST,
         endpoint=endpoint.id,
         service=endpoint.service,
         outcome="asked",
@@ -121,7 +121,7 @@
         endpoint_state.limit_ended_at = report.heard_at
     outcome = "ended" if new_per_s == UNLIMITED else "named" if previous_per_s == UNLIMITED else "changed"
     state.log.line(
-        Decision.LIMIT,
+        LogEvent.LIMIT,
         endpoint=endpoint.id,
         service=endpoint.service,
         outcome=outcome,
@@ -141,7 +141,7 @@
     if endpoint_state.unreadable_by_topic.get(topic) != text:
         endpoint_state.unreadable_by_topic[topic] = text
         state.log.line(
-            Decision(topic.value),
+            LogEvent(topic.value),
             endpoint=endpoint.id,
             service=endpoint.service,
             outcome="unreadable",
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -11,9 +11,9 @@
 from stairquay.core.holdings import Key
 from stairquay.core.scope import parse_scope
 from stairquay.core.versions import VersionHistory
-from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint_choice import FETCH_TIMEOUT_S
 from stairquay.serving.engine_views import fresh_stores
+from stairquay.serving.event_log import LogEvent
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
 
@@ -82,7 +82,7 @@
         if done:
             self.state.metrics.freed.inc(len(keys))
         self.state.log.line(
-            Decision.FREED,
+            LogEvent.FREED,
             store=store.id,
             parts=len(keys),
             life=holding.life,
