--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -17,8 +17,8 @@
 from stairquay.core.mistake import Mistake
 from stairquay.serving.boxes import BoxList
 from stairquay.serving.cold import cold_for_s
-from stairquay.serving.crash_detector import CrashDetector
 from stairquay.serving.crash_rows import CrashRowSync
+from stairquay.serving.crashes import CrashDetector
 from stairquay.serving.dispatch import Dispatcher
 from stairquay.serving.endpoint_chooser import Chooser
 from stairquay.serving.event_log import EventLog, LogEvent
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -11,7 +11,7 @@
 from stairquay.core.call import Dispatch
 from stairquay.core.catalog import urgency
 from stairquay.core.errors import ErrorKind, ExecutionStatus, Refusal
-from stairquay.serving.crash_detector import CrashDetector
+from stairquay.serving.crashes import CrashDetector
 from stairquay.serving.endpoint import BUSY_BACKOFF_S
 from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.endpoint_chooser import Chooser
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -14,7 +14,7 @@
 from stairquay.core.catalog import Route
 from stairquay.core.errors import ErrorKind, ExecutionStatus
 from stairquay.core.fleet import Endpoint as Listed
-from stairquay.serving.crash_detector import CrashDetector
+from stairquay.serving.crashes import CrashDetector
 from stairquay.serving.dispatch import Dispatcher
 from stairquay.serving.endpoint_choice import Choice, ChoiceRequest, choose_endpoint
 from stairquay.serving.following import apply_endpoints
