--- a/stairquay/core/call.py
+++ b/stairquay/core/call.py
@@ -82,8 +82,8 @@
     The id differs each time that a caller sends a request again. Headers are left out, since clients change
     them from one time to the next.
     """
-    known_by = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in (call.method, call.host, call.target, call.key or ""):
-        known_by.update(text.encode(errors="surrogateescape") + b"\0")
-    known_by.update(body)
-    return known_by.hexdigest()
+        hasher.update(text.encode(errors="surrogateescape") + b"\0")
+    hasher.update(body)
+    return hasher.hexdigest()
--- a/stairquay/core/catalog.py
+++ b/stairquay/core/catalog.py
@@ -38,13 +38,13 @@
     public: bool = False
 
     @property
-    def may_run_again(self) -> bool:
+    def retryable(self) -> bool:
         """Tell whether a request whose first run is in doubt may be sent once more."""
         return self.repeatable or self.resumable
 
 
 @dataclass(frozen=True)
-class WorkspaceRule:
+class WorkspacePolicy:
     """A workspace as routing sees it. `isolated`: it shares no kept context with any other."""
 
     id: str
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class EngineShape:
+class EngineSpec:
     """What the engines of a service have; `link_bytes_s` is the link that moves kept context."""
 
     slots: int
@@ -65,18 +65,18 @@
 
 
 @dataclass(frozen=True)
-class ServiceShape:
+class ServiceSpec:
     """A service that requests are sent to. `engine` is None for plain services, `cold` where its endpoints
     bear as much as ever from their start on."""
 
     id: str
     max_connections: int = 100
-    engine: EngineShape | None = None
+    engine: EngineSpec | None = None
     cold: ColdLimit | None = None
 
 
 @dataclass(frozen=True)
-class StoreShape:
+class StoreSpec:
     """A store box. `managed`: it frees nothing by itself, so that we free what is not needed."""
 
     id: str
@@ -84,7 +84,7 @@
     data_hall: str
     memory_tokens: int
     link_bytes_s: float
-    first_s: float = 0.0
+    first_byte_s: float = 0.0
     max_followers: int = 8
     managed: bool = False
 
@@ -103,11 +103,11 @@
 
     version: int
     routes: tuple[Route, ...] = ()
-    services_by_id: dict[str, ServiceShape] = field(default_factory=dict)
-    stores_by_id: dict[str, StoreShape] = field(default_factory=dict)
-    workspaces_by_key: dict[str, WorkspaceRule] = field(default_factory=dict, repr=False)
-    keyed: bool = False
-    homed: tuple[str, ...] = ()
+    services_by_id: dict[str, ServiceSpec] = field(default_factory=dict)
+    stores_by_id: dict[str, StoreSpec] = field(default_factory=dict)
+    workspaces_by_key: dict[str, WorkspacePolicy] = field(default_factory=dict, repr=False)
+    keys_required: bool = False
+    region_restricted: tuple[str, ...] = ()
     limits: CallerLimits = field(default_factory=CallerLimits)
 
     @cached_property
@@ -120,7 +120,7 @@
             for host, routes in grouped.items()
         }
 
-    def engine_of(self, service: str) -> EngineShape | None:
+    def engine_of(self, service: str) -> EngineSpec | None:
         """Return the shape of a service's engines, None for plain services and unknown ones."""
         shape = self.services_by_id.get(service)
         return None if shape is None else shape.engine
@@ -133,45 +133,47 @@
         return None
 
     @cached_property
-    def _least_urgent_by_service(self) -> dict[str, int]:
-        ranks: dict[str, int] = {}
+    def _lowest_priority_by_service(self) -> dict[str, int]:
+        lowest: dict[str, int] = {}
         for route in self.routes:
             for split in route.splits:
-                ranks[split.service] = max(route.priority, ranks.get(split.service, 0))
-        return ranks
+                lowest[split.service] = max(route.priority, lowest.get(split.service, 0))
+        return lowest
 
-    def least_urgent(self, route: Route, service: str) -> bool:
+    def is_lowest_priority(self, route: Route, service: str) -> bool:
         """Tell whether no route of a service is less urgent than this one."""
-        return route.priority >= self._least_urgent_by_service.get(service, 0)
+        return route.priority >= self._lowest_priority_by_service.get(service, 0)
 
     def needs_key(self, route: Route) -> bool:
         """Tell whether requests on a route must carry a workspace's key."""
-        return self.keyed and not route.public
+        return self.keys_required and not route.public
 
 
-RANKS = 3
+ROUTE_PRIORITIES = 3
 """Ranks of routes that are told apart within one rank of workspaces: engines know ten in all."""
 
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 """The last of the ten ranks."""
 
 
-def urgency(route: Route, workspace: WorkspaceRule | None) -> int:
+def engine_priority(route: Route, workspace: WorkspacePolicy | None) -> int:
     """Return the rank of a request at engines, 0 for the most urgent.
 
     A workspace's rank goes before its routes'; routes of equally ranked workspaces keep their order.
     """
     if workspace is None or workspace.priority is None:
-        return min(LEAST_URGENT, route.priority)
-    return min(LEAST_URGENT, workspace.priority * RANKS + min(route.priority, RANKS - 1))
+        return min(LOWEST_PRIORITY, route.priority)
+    return min(
+        LOWEST_PRIORITY, workspace.priority * ROUTE_PRIORITIES + min(route.priority, ROUTE_PRIORITIES - 1)
+    )
 
 
 def pick_service(route: Route, draw: float) -> str:
     """Return the service for a draw in [0, 1), by the route's weights."""
     total = sum(split.weight for split in route.splits)
-    left = draw * total
+    remaining = draw * total
     for split in route.splits:
-        left -= split.weight
-        if left < 0:
+        remaining -= split.weight
+        if remaining < 0:
             return split.service
     return route.splits[-1].service
--- a/stairquay/core/placement.py
+++ b/stairquay/core/placement.py
@@ -80,7 +80,7 @@
     address: str
     tokens: int
     bytes_s: float
-    first_s: float = 0.0
+    first_byte_s: float = 0.0
     lasting: bool = False
 
 
@@ -150,7 +150,7 @@
         fetch_from[index] = source.address
         fetched += source.tokens - resident
         reused += resident
-        fetch_s += (source.tokens - resident) * bytes_per_token / source.bytes_s + source.first_s
+        fetch_s += (source.tokens - resident) * bytes_per_token / source.bytes_s + source.first_byte_s
         if source.tokens < part.tokens:
             break
     if fetched:
--- a/stairquay/platform/feeds.py
+++ b/stairquay/platform/feeds.py
@@ -12,12 +12,12 @@
 from stairquay.core.catalog import (
     CallerLimits,
     Catalog,
-    EngineShape,
+    EngineSpec,
     Route,
-    ServiceShape,
+    ServiceSpec,
     Split,
-    StoreShape,
-    WorkspaceRule,
+    StoreSpec,
+    WorkspacePolicy,
 )
 from stairquay.core.cold import ColdLimit
 from stairquay.core.fleet import Endpoint
@@ -278,12 +278,12 @@
         services_by_id={item.name: _service(item) for item in config.services if not item.kv_store_addr},
         stores_by_id={item.name: _store(item) for item in config.services if item.kv_store_addr},
         workspaces_by_key={
-            key: WorkspaceRule(item.name, item.isolated, item.priority)
+            key: WorkspacePolicy(item.name, item.isolated, item.priority)
             for item in workspaces
             for key in item.api_keys
         },
-        keyed=config.tenants is not None,
-        homed=_homed(config.routes, workspaces),
+        keys_required=config.tenants is not None,
+        region_restricted=_homed(config.routes, workspaces),
         limits=CallerLimits(config.limits.max_body_bytes),
     )
 
@@ -313,12 +313,12 @@
     )
 
 
-def _service(service: WireService) -> ServiceShape:
+def _service(service: WireService) -> ServiceSpec:
     engine = service.engine
     cold = ColdLimit(service.cold_per_s, service.cold_start_s) if service.cold_per_s > 0 else None
     if engine is None:
-        return ServiceShape(service.name, service.max_connections, cold=cold)
-    shape = EngineShape(
+        return ServiceSpec(service.name, service.max_connections, cold=cold)
+    shape = EngineSpec(
         slots=engine.slots,
         memory_tokens=engine.kv_capacity_tokens,
         bytes_per_token=int(engine.kv_token_bytes),
@@ -326,17 +326,17 @@
         models=tuple(model.name for model in engine.models),
         max_followers=engine.max_concurrency,
     )
-    return ServiceShape(service.name, service.max_connections, shape, cold)
+    return ServiceSpec(service.name, service.max_connections, shape, cold)
 
 
-def _store(service: WireService) -> StoreShape:
-    return StoreShape(
+def _store(service: WireService) -> StoreSpec:
+    return StoreSpec(
         id=service.name,
         address=service.kv_store_addr,
         data_hall=service.zone,
         memory_tokens=service.kv_capacity_tokens,
         link_bytes_s=service.link_mbps * MEGABIT_BYTES,
-        first_s=service.first_ms / 1000,
+        first_byte_s=service.first_ms / 1000,
         max_followers=service.max_concurrency,
         managed=service.managed,
     )
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -11,7 +11,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import PromptShape
-from stairquay.core.catalog import WorkspaceRule
+from stairquay.core.catalog import WorkspacePolicy
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.placement import EngineView, Placement
@@ -228,7 +228,7 @@
         most_backlog_s: float | None,
         may_wait: bool,
     ) -> PlaceRequest:
-        workspace: WorkspaceRule | None = job.workspace
+        workspace: WorkspacePolicy | None = job.workspace
         return PlaceRequest(
             ticket=f"{job.call.id} {len(progress.tried)}",
             box=self.state.settings.id,
--- a/stairquay/serving/choosing.py
+++ b/stairquay/serving/choosing.py
@@ -7,7 +7,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import PromptShape
-from stairquay.core.catalog import Catalog, EngineShape, ServiceShape, WorkspaceRule
+from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec, WorkspacePolicy
 from stairquay.core.fleet import Endpoint
 from stairquay.core.ownership import ranked
 from stairquay.core.placement import (
@@ -70,9 +70,9 @@
     rests_s: endpoints that want nothing from that box, and for how many seconds.
     """
 
-    service: ServiceShape
+    service: ServiceSpec
     prompt: PromptShape | None = None
-    workspace: WorkspaceRule | None = None
+    workspace: WorkspacePolicy | None = None
     tried: frozenset[str] = frozenset()
     sender: str = ""
     rests_s: Mapping[str, float] = field(default_factory=dict)
@@ -95,7 +95,7 @@
     return _best(state, wanted, prompt, placements, random, now) if placements else None
 
 
-def context_scope(workspace: WorkspaceRule | None, model: str, version: int) -> str:
+def context_scope(workspace: WorkspacePolicy | None, model: str, version: int) -> str:
     """Return the name under which context is kept: of one model and version, and of one workspace where
     that is isolated."""
     wall = workspace.id if workspace is not None and workspace.isolated else ""
@@ -163,7 +163,7 @@
     catalog: Catalog,
     wanted: Wanted,
     prompt: PromptShape,
-    engine: EngineShape,
+    engine: EngineSpec,
     candidates: Sequence[Endpoint],
     now: float,
 ) -> list[Placement]:
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -9,7 +9,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.attempt import Attempt, worst
 from stairquay.core.call import Dispatch
-from stairquay.core.catalog import urgency
+from stairquay.core.catalog import engine_priority
 from stairquay.core.errors import ErrorKind, Ran, Refusal
 from stairquay.serving.asking import Chooser
 from stairquay.serving.choosing import Choice
@@ -138,7 +138,7 @@
             # It never left this box, so that no endpoint saw it twice.
             return None if progress.refused < MAX_REFUSED else refusal
         if failure.ran != Ran.NOT_RUN:
-            if not job.route.may_run_again or progress.runs >= job.route.max_attempts:
+            if not job.route.retryable or progress.runs >= job.route.max_attempts:
                 return refusal
         elif progress.refused >= MAX_REFUSED:
             return refusal
@@ -202,7 +202,7 @@
             address=choice.endpoint.address,
             time_left_s=left_s,
             workspace=job.workspace_id,
-            priority=None if placement is None else urgency(job.route, job.workspace),
+            priority=None if placement is None else engine_priority(job.route, job.workspace),
             context_scope=choice.scope,
             version=choice.version,
             fetch_from=() if placement is None else placement.fetch_from,
@@ -253,7 +253,7 @@
     def _error_again(self, job: Job, begun: Begun, progress: Progress, reply: Reply, body: bytes) -> bool:
         """Take in an endpoint's own error; tell whether the job is sent again instead of passing it on."""
         progress.kept_reply = (reply, body)
-        again = job.route.may_run_again and progress.runs + 1 < job.route.max_attempts
+        again = job.route.retryable and progress.runs + 1 < job.route.max_attempts
         if not again:
             return False
         begun.attempt.lose()
@@ -360,6 +360,6 @@
     Only the least urgent kind is: the others are let in before it. Those that are let in are in time,
     where otherwise all of them would be late.
     """
-    if progress.tried or not job.catalog.least_urgent(job.route, job.service.id):
+    if progress.tried or not job.catalog.is_lowest_priority(job.route, job.service.id):
         return None
     return job.route.objective_s * SHED_AT
--- a/stairquay/serving/following.py
+++ b/stairquay/serving/following.py
@@ -200,7 +200,7 @@
         version=catalog.version,
         before=0 if held is None else held.version,
         routes=len(catalog.routes),
-        homes_not_honoured=catalog.homed,
+        homes_not_honoured=catalog.region_restricted,
         keys=len(catalog.workspaces_by_key),
     )
 
--- a/stairquay/serving/front.py
+++ b/stairquay/serving/front.py
@@ -8,7 +8,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import Call
-from stairquay.core.catalog import Catalog, Route, WorkspaceRule, pick_service
+from stairquay.core.catalog import Catalog, Route, WorkspacePolicy, pick_service
 from stairquay.core.errors import ErrorKind, Ran, Refusal
 from stairquay.serving.decisions import Decision
 from stairquay.serving.dispatch import Dispatcher
@@ -103,7 +103,7 @@
         finally:
             self.state.body_bytes -= len(body.ok_value)
 
-    def _admit(self, catalog: Catalog, call: Call) -> Result[tuple[Route, WorkspaceRule | None], Refusal]:
+    def _admit(self, catalog: Catalog, call: Call) -> Result[tuple[Route, WorkspacePolicy | None], Refusal]:
         """Find the route, and the workspace that the key belongs to."""
         fresh = self.state.keys_fresh()
         route = catalog.route_for(call.host, call.path)
@@ -154,7 +154,7 @@
         body: bytes,
         catalog: Catalog,
         route: Route,
-        workspace: WorkspaceRule | None,
+        workspace: WorkspacePolicy | None,
         arrived_at: float,
     ) -> Result[Job, Refusal]:
         service = catalog.services_by_id.get(pick_service(route, self.random.random()))
--- a/stairquay/serving/jobs.py
+++ b/stairquay/serving/jobs.py
@@ -5,7 +5,7 @@
 
 from stairquay.core.attempt import Attempt
 from stairquay.core.call import Call, request_digest
-from stairquay.core.catalog import Catalog, Route, ServiceShape, WorkspaceRule
+from stairquay.core.catalog import Catalog, Route, ServiceSpec, WorkspacePolicy
 from stairquay.core.errors import Ran
 from stairquay.serving.choosing import Choice
 from stairquay.serving.endpoint import EndpointState
@@ -21,8 +21,8 @@
     body: bytes
     catalog: Catalog
     route: Route
-    service: ServiceShape
-    workspace: WorkspaceRule | None
+    service: ServiceSpec
+    workspace: WorkspacePolicy | None
     arrived_at: float
     deadline: float
 
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -13,7 +13,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import Part, PromptShape
-from stairquay.core.catalog import WorkspaceRule
+from stairquay.core.catalog import WorkspacePolicy
 from stairquay.core.fleet import Endpoint
 from stairquay.core.holdings import Key
 from stairquay.core.placement import read_s
@@ -190,7 +190,7 @@
             return None
         parts = tuple(Part(part.id, part.tokens) for part in asked.parts)
         prompt = PromptShape(asked.model, parts, asked.tokens, asked.max_output)
-        wall = WorkspaceRule(asked.wall, isolated=True) if asked.wall else None
+        wall = WorkspacePolicy(asked.wall, isolated=True) if asked.wall else None
         wanted = Wanted(service, prompt, wall, frozenset(asked.tried), asked.box, rests_s)
         return choose_and_save(self.state, catalog, wanted, self.random)
 
--- a/stairquay/serving/saving.py
+++ b/stairquay/serving/saving.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from stairquay.core.call import Part, PromptShape
-from stairquay.core.catalog import Catalog, StoreShape
+from stairquay.core.catalog import Catalog, StoreSpec
 from stairquay.serving.choosing import Choice, Wanted, choose
 from stairquay.serving.state import BoxState
 from stairquay.serving.weighing import fresh_stores
@@ -38,7 +38,7 @@
     return (*targets, "")
 
 
-def _target(state: BoxState, stores: list[StoreShape], addresses: set[str], scope: str, part: Part) -> str:
+def _target(state: BoxState, stores: list[StoreSpec], addresses: set[str], scope: str, part: Part) -> str:
     if state.holdings.holders(scope, part.id) & addresses:
         return ""
     roomy = [store for store in stores if _has_room(state, store, part.tokens)]
@@ -49,11 +49,11 @@
     return max(roomy, key=lambda store: _rank(store, scope, part)).address
 
 
-def _rank(store: StoreShape, scope: str, part: Part) -> float:
+def _rank(store: StoreSpec, scope: str, part: Part) -> float:
     draw = (xxhash.xxh64_intdigest(f"{store.id} {scope} {part.id}".encode()) + 1) / 2**64
     return float(draw ** (1.0 / store.memory_tokens))
 
 
-def _has_room(state: BoxState, store: StoreShape, tokens: int) -> bool:
+def _has_room(state: BoxState, store: StoreSpec, tokens: int) -> bool:
     holding = state.holdings.by_address.get(store.address)
     return holding is not None and holding.total + tokens < store.memory_tokens * FULL_SHARE
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.catalog import Catalog, StoreShape
+from stairquay.core.catalog import Catalog, StoreSpec
 from stairquay.core.holdings import Key
 from stairquay.core.scope import parse_scope
 from stairquay.core.versions import VersionHistory
@@ -71,7 +71,7 @@
                 self.oldest_by_model[model] = version
                 self.oldest_seen_by_model.setdefault(model, VersionHistory()).fall_back(version, monotonic())
 
-    async def _free(self, store: StoreShape) -> None:
+    async def _free(self, store: StoreSpec) -> None:
         holding = self.state.holdings.by_address.get(store.address)
         if holding is None:
             return
--- a/stairquay/serving/weighing.py
+++ b/stairquay/serving/weighing.py
@@ -5,7 +5,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import Part, PromptShape
-from stairquay.core.catalog import Catalog, EngineShape, StoreShape
+from stairquay.core.catalog import Catalog, EngineSpec, StoreSpec
 from stairquay.core.fleet import Endpoint
 from stairquay.core.placement import PREFILL_TOKENS_S, EngineView, Source
 from stairquay.serving.endpoint import EndpointState
@@ -74,7 +74,7 @@
     return 0.0 if report is None else float(report.queued * report.next_tokens)
 
 
-def fresh_stores(state: BoxState, catalog: Catalog) -> list[StoreShape]:
+def fresh_stores(state: BoxState, catalog: Catalog) -> list[StoreSpec]:
     """Return the store boxes whose content is known now."""
     now = monotonic()
     return [
@@ -85,7 +85,7 @@
     ]
 
 
-def usable_sources(state: BoxState, catalog: Catalog, engine: EngineShape, now: float) -> dict[str, Source]:
+def usable_sources(state: BoxState, catalog: Catalog, engine: EngineSpec, now: float) -> dict[str, Source]:
     """Return by address what context can be fetched from now, each as a source of no tokens yet."""
     by_address: dict[str, Source] = {}
     for endpoint in state.fleet.live():
@@ -93,7 +93,9 @@
         if endpoint.data_hall not in state.evacuated and not state.of(endpoint).silent(now):
             by_address[endpoint.address] = Source(endpoint.address, 0, engine.link_bytes_s)
     for store in fresh_stores(state, catalog):
-        by_address[store.address] = Source(store.address, 0, store.link_bytes_s, store.first_s, lasting=True)
+        by_address[store.address] = Source(
+            store.address, 0, store.link_bytes_s, store.first_byte_s, lasting=True
+        )
     return by_address
 
 
--- a/tests/loads/test_limits_of_endpoints.py
+++ b/tests/loads/test_limits_of_endpoints.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from stairquay.core.catalog import Catalog, EngineShape, ServiceShape
+from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED, LimitNews
 from stairquay.core.pace import LIMIT_SHARES, Pace
@@ -49,8 +49,8 @@
 CATALOG = Catalog(
     1,
     services_by_id={
-        "llm": ServiceShape("llm", 100, EngineShape(8, 100_000, 100, 1e9, ("m",))),
-        "plain": ServiceShape("plain", 100),
+        "llm": ServiceSpec("llm", 100, EngineSpec(8, 100_000, 100, 1e9, ("m",))),
+        "plain": ServiceSpec("plain", 100),
     },
 )
 
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -6,7 +6,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import Part, PromptShape
-from stairquay.core.catalog import Catalog, EngineShape, ServiceShape, StoreShape
+from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec, StoreSpec
 from stairquay.core.fleet import Endpoint
 from stairquay.core.rollout import EngineState
 from stairquay.core.routers import Member
@@ -21,7 +21,7 @@
 from tests.states import box_state
 
 PROMPT = PromptShape("m", (Part("aa", 500), Part("bb", 300)), 800, 20)
-CATALOG = Catalog(1, services_by_id={"llm": ServiceShape("llm", 100, EngineShape(8, 100_000, 100, 1e9))})
+CATALOG = Catalog(1, services_by_id={"llm": ServiceSpec("llm", 100, EngineSpec(8, 100_000, 100, 1e9))})
 
 CHANCE = Random(1)
 
@@ -90,7 +90,7 @@
 
 def test_a_store_box_goes_before_an_engine_that_keeps_the_same_part():
     state = router_state(2)
-    store = StoreShape("store", "10.0.2.1:1", "hall-a", 100_000, link_bytes_s=1e8)
+    store = StoreSpec("store", "10.0.2.1:1", "hall-a", 100_000, link_bytes_s=1e8)
     catalog = replace(CATALOG, stores_by_id={"store": store})
     state.holdings.expect("10.0.1.1:1", "/m/0", "aa", 500)
     usable = usable_sources(state, catalog, CATALOG.services_by_id["llm"].engine, monotonic())
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.catalog import Catalog, EngineShape, ServiceShape
+from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec
 from stairquay.core.cold import ColdLimit
 from stairquay.core.fleet import Endpoint, Fleet
 from stairquay.core.rollout import Given
@@ -29,7 +29,7 @@
 
 START_S = 3.0
 LIMIT = ColdLimit(per_s=18.0, start_s=START_S)
-SERVICE = ServiceShape("llm", 100, EngineShape(8, 100_000, 100, 1e9, ("m",)), LIMIT)
+SERVICE = ServiceSpec("llm", 100, EngineSpec(8, 100_000, 100, 1e9, ("m",)), LIMIT)
 CATALOG = Catalog(1, services_by_id={"llm": SERVICE})
 ENGINE = Endpoint("e", "llm", "10.0.1.1:1", "hall-a", 8, versions_by_model={"m": 1}, born=1_000, sequence=5)
 CHANCE = Random(1)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -93,17 +93,17 @@
 def test_a_configuration_becomes_a_catalog():
     catalog = decode_catalog(json.dumps(configuration(3, [])))
     route = catalog.route_for("svc.example", "/again/x")
-    assert route.resumable and route.streamed and not route.repeatable and route.may_run_again
+    assert route.resumable and route.streamed and not route.repeatable and route.retryable
     assert catalog.workspaces_by_key["key-two"].isolated
-    assert catalog.services_by_id["llm"].engine.models == ("m",) and catalog.keyed
+    assert catalog.services_by_id["llm"].engine.models == ("m",) and catalog.keys_required
 
 
 def test_homes_that_are_not_honoured_are_told():
     config = configuration(3, [])
-    assert decode_catalog(json.dumps(config)).homed == ()
+    assert decode_catalog(json.dumps(config)).region_restricted == ()
     config["routes"][0]["allowed_regions"] = ["north"]
     config["tenants"][1]["allowed_regions"] = ["south"]
-    assert decode_catalog(json.dumps(config)).homed == ("plain", "w2")
+    assert decode_catalog(json.dumps(config)).region_restricted == ("plain", "w2")
 
 
 def test_unreadable_rows_are_told_and_the_others_taken():
--- a/tests/test_serving_core.py
+++ b/tests/test_serving_core.py
@@ -9,7 +9,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.budget import Allowance, WindowBudget
 from stairquay.core.call import Part
-from stairquay.core.catalog import Catalog, Route, Split, WorkspaceRule, pick_service, urgency
+from stairquay.core.catalog import Catalog, Route, Split, WorkspacePolicy, engine_priority, pick_service
 from stairquay.core.fleet import MISSING_GRACE_S, Endpoint, Fleet
 from stairquay.core.holdings import MAX_DROPPED, Holdings, PartEvent
 from stairquay.core.placement import EngineView, Source, pick, place
@@ -48,11 +48,11 @@
 
 
 def test_a_workspaces_rank_goes_before_its_routes_and_routes_keep_their_order_within_it():
-    first, second = WorkspaceRule("a", priority=0), WorkspaceRule("b", priority=1)
+    first, second = WorkspacePolicy("a", priority=0), WorkspacePolicy("b", priority=1)
     urgent, calm = make_route(priority=0), make_route(priority=2)
-    ranks = [urgency(route, space) for space in (first, second) for route in (urgent, calm)]
+    ranks = [engine_priority(route, space) for space in (first, second) for route in (urgent, calm)]
     assert ranks == sorted(set(ranks))
-    assert urgency(make_route(priority=40), WorkspaceRule("c", priority=9)) == 9
+    assert engine_priority(make_route(priority=40), WorkspacePolicy("c", priority=9)) == 9
 
 
 def test_a_leaving_endpoint_stays_leaving_whatever_the_list_says_later():
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -9,7 +9,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import Part, PromptShape
-from stairquay.core.catalog import Catalog, EngineShape, ServiceShape
+from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec
 from stairquay.core.clock import ClockOffset
 from stairquay.core.fleet import Endpoint
 from stairquay.core.routers import Member
@@ -98,7 +98,7 @@
     asyncio.run(scenario())
 
 
-CATALOG = Catalog(1, services_by_id={"llm": ServiceShape("llm", 100, EngineShape(8, 200_000, 100, 1e9))})
+CATALOG = Catalog(1, services_by_id={"llm": ServiceSpec("llm", 100, EngineSpec(8, 200_000, 100, 1e9))})
 
 
 def state_with_old_weights(replaced_s: float) -> BoxState:
