--- a/stairquay/core/clock.py
+++ b/stairquay/core/clock.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-ROUNDING_S = 1e-6
+ROUNDING_TOLERANCE_S = 1e-6
 """Seconds by which bounds may pass each other through rounding alone: those of an answer that took no time
 are equal. Clocks are told in milliseconds or finer."""
 
@@ -15,24 +15,24 @@
     to which side a converted time may be wrong: here always to the earlier one, so that no age is too low.
     """
 
-    least: float
-    most: float
+    lower: float
+    upper: float
 
     @classmethod
-    def told(cls, their_now: float, asked_at: float, answered_at: float) -> "ClockOffset":
+    def from_exchange(cls, remote_now: float, sent_at: float, received_at: float) -> "ClockOffset":
         """Return what an answer tells: the other clock's time, and ours before and after."""
-        return cls(their_now - answered_at, their_now - asked_at)
+        return cls(remote_now - received_at, remote_now - sent_at)
 
     def narrowed(self, newer: "ClockOffset") -> "ClockOffset":
         """Return the bounds after a newer answer. One that contradicts replaces all that was known: clocks
         drift, and a service may come back with another one."""
-        least, most = max(self.least, newer.least), min(self.most, newer.most)
-        return newer if least - most > ROUNDING_S else ClockOffset(least, most)
+        lower, upper = max(self.lower, newer.lower), min(self.upper, newer.upper)
+        return newer if lower - upper > ROUNDING_TOLERANCE_S else ClockOffset(lower, upper)
 
-    def ours(self, theirs: float) -> float:
+    def to_local(self, remote_s: float) -> float:
         """Return the earliest time by our clock that a time by the other one can be."""
-        return theirs - self.most
+        return remote_s - self.upper
 
-    def theirs(self, ours: float) -> float:
+    def to_remote(self, local_s: float) -> float:
         """Return the earliest time by the other clock that a time by ours can be."""
-        return ours + self.least
+        return local_s + self.lower
--- a/stairquay/core/cold.py
+++ b/stairquay/core/cold.py
@@ -9,4 +9,4 @@
     for how many seconds they are cold after a start."""
 
     per_s: float
-    start_s: float = 0.0
+    after_start_s: float = 0.0
--- a/stairquay/platform/rows.py
+++ b/stairquay/platform/rows.py
@@ -136,7 +136,7 @@
         """Read an answer with rows, and note the clock that it tells."""
         found = msgspec.json.decode(content, type=WireRows)
         if found.now_ms > 0:
-            told = ClockOffset.told(found.now_ms / 1000, asked_at, monotonic())
+            told = ClockOffset.from_exchange(found.now_ms / 1000, asked_at, monotonic())
             self.clock_offset = told if self.clock_offset is None else self.clock_offset.narrowed(told)
         return found
 
--- a/stairquay/serving/boxes.py
+++ b/stairquay/serving/boxes.py
@@ -151,11 +151,11 @@
             member.capacity,
             member.data_hall,
             tuple(
-                NamedVersion(model, sight.version, offset.theirs(sight.at))
+                NamedVersion(model, sight.version, offset.to_remote(sight.at))
                 for model, history in self.state.namings_by_model.items()
                 for sight in history.sights
             ),
-            None if viewed_at is None else offset.theirs(viewed_at),
+            None if viewed_at is None else offset.to_remote(viewed_at),
         )
 
     def _has_news(self) -> bool:
@@ -177,10 +177,10 @@
                     # What this box saw is sound. A box that was held up for long tells a needlessly early
                     # time, for which prompts were refused for up to seven seconds.
                     continue
-                named_at = min(now, offset.ours(named.at_s))
+                named_at = min(now, offset.to_local(named.at_s))
                 self.state.note_named(named.model, named.version, named_at, row.key)
             if beat.viewed_at_s is not None:
-                views_at.append(min(now, offset.ours(beat.viewed_at_s)))
+                views_at.append(min(now, offset.to_local(beat.viewed_at_s)))
         if views_at and not self.state.namings_learned:
             self.state.note_view_before_start(max(views_at))
         self.state.namings_learned = True
--- a/stairquay/serving/cold.py
+++ b/stairquay/serving/cold.py
@@ -29,6 +29,6 @@
     held = state.of(endpoint)
     until = held.cold_until
     if held.doubted_at > NEVER:
-        until = max(until, held.doubted_at + limit.start_s)
+        until = max(until, held.doubted_at + limit.after_start_s)
     returned_at = state.returned_at_by_hall.get(endpoint.data_hall, NEVER)
     return max(0.0, max(until, returned_at + RETURN_CAUTION_S) - now)
--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -123,10 +123,10 @@
             return False
         row = CrashRow(
             tuple(
-                (item.digest, item.life, offset.theirs(item.at), item.ran_s, item.events)
+                (item.digest, item.life, offset.to_remote(item.at), item.ran_s, item.events)
                 for item in quarantine.own.values()
             ),
-            tuple((digest, offset.theirs(at)) for digest, at in quarantine.cleared.items()),
+            tuple((digest, offset.to_remote(at)) for digest, at in quarantine.cleared.items()),
         )
         key, value = self.state.settings.id, msgspec.json.encode(row).decode()
         answer = await self.table.commit(Commit("", (Condition(key, self.revision),), (Write(key, value),)))
@@ -153,7 +153,7 @@
         return Told()
     now = monotonic()
     crashes = (
-        Crash(digest, life, min(now, offset.ours(at)), ran_s, events)
+        Crash(digest, life, min(now, offset.to_local(at)), ran_s, events)
         for digest, life, at, ran_s, events in told.crashes
     )
-    return Told(tuple(crashes), {digest: min(now, offset.ours(at)) for digest, at in told.cleared})
+    return Told(tuple(crashes), {digest: min(now, offset.to_local(at)) for digest, at in told.cleared})
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -227,7 +227,7 @@
     def cold_start_s(self, service: str) -> float:
         """Return for how many seconds the endpoints of a service are cold after a start."""
         shape = None if self.catalog is None else self.catalog.services_by_id.get(service)
-        return 0.0 if shape is None or shape.cold is None else shape.cold.start_s
+        return 0.0 if shape is None or shape.cold is None else shape.cold.after_start_s
 
     def _new_life(self, endpoint: Endpoint, held: EndpointState, born: int, source: str) -> EndpointState:
         """Drop all that was believed of an endpoint's last life; return the state of the new one.
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -28,7 +28,7 @@
 from tests.states import box_state
 
 START_S = 3.0
-LIMIT = ColdLimit(per_s=18.0, start_s=START_S)
+LIMIT = ColdLimit(per_s=18.0, after_start_s=START_S)
 SERVICE = ServiceSpec("llm", 100, EngineSpec(8, 100_000, 100, 1e9, ("m",)), LIMIT)
 CATALOG = Catalog(1, services_by_id={"llm": SERVICE})
 ENGINE = Endpoint("e", "llm", "10.0.1.1:1", "hall-a", 8, versions_by_model={"m": 1}, born=1_000, sequence=5)
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -36,17 +36,17 @@
     known: ClockOffset | None = None
     for asked_at, there_s, back_s in answers:
         read_at = asked_at + there_s
-        told = ClockOffset.told(read_at + offset_s, asked_at, read_at + back_s)
+        told = ClockOffset.from_exchange(read_at + offset_s, asked_at, read_at + back_s)
         known = told if known is None else known.narrowed(told)
     assert known is not None
     quickest_s = min(there_s + back_s for _, there_s, back_s in answers)
-    assert at - quickest_s - 1e-6 <= known.ours(at + offset_s) <= at + 1e-6
-    assert known.theirs(at) <= at + offset_s + 1e-6
+    assert at - quickest_s - 1e-6 <= known.to_local(at + offset_s) <= at + 1e-6
+    assert known.to_remote(at) <= at + offset_s + 1e-6
 
 
 def test_a_clock_that_contradicts_what_was_known_of_it_is_taken_as_it_is_now():
-    known = ClockOffset.told(100.0, 10.0, 10.1).narrowed(ClockOffset.told(30.0, 20.0, 20.2))
-    assert (known.ours(30.0), known.theirs(20.2)) == (20.0, 30.0)
+    known = ClockOffset.from_exchange(100.0, 10.0, 10.1).narrowed(ClockOffset.from_exchange(30.0, 20.0, 20.2))
+    assert (known.to_local(30.0), known.to_remote(20.2)) == (20.0, 30.0)
 
 
 async def take_rows(table: TableService, boxes: BoxList) -> None:
