--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -13,7 +13,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.adapters.ports import Changes, Commit, Committed, Condition, Write
 from stairquay.core.clock import ClockOffset
-from stairquay.core.crashes import KEPT_S, Crash
+from stairquay.core.crashes import CRASH_TTL_S, Crash
 from stairquay.core.row import Row
 from stairquay.serving.ports import CrashTable, FeedFault
 from stairquay.serving.quarantine import Told
@@ -112,7 +112,7 @@
         now = monotonic()
         for row in changes.rows:
             told = self.state.quarantine.told_by_key.get(row.key)
-            if told is None or any(now - at < KEPT_S for at in told.times()):
+            if told is None or any(now - at < CRASH_TTL_S for at in told.times()):
                 continue
             await self.table.commit(Commit("", (Condition(row.key, row.revision),), (Write(row.key, None),)))
 
@@ -123,7 +123,7 @@
             return False
         row = CrashRow(
             tuple(
-                (item.digest, item.life, offset.to_remote(item.at), item.ran_s, item.events)
+                (item.digest, item.incarnation, offset.to_remote(item.at), item.ran_s, item.events)
                 for item in quarantine.own.values()
             ),
             tuple((digest, offset.to_remote(at)) for digest, at in quarantine.cleared.items()),
--- a/stairquay/serving/quarantine.py
+++ b/stairquay/serving/quarantine.py
@@ -9,7 +9,13 @@
 from dataclasses import dataclass, field
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.crashes import KEPT_S, Crash, Quarantined, quarantined, unexplained
+from stairquay.core.crashes import (
+    CRASH_TTL_S,
+    Crash,
+    QuarantinedRequest,
+    find_quarantined,
+    unexplained_crashes,
+)
 from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.endpoint import NEVER
 from stairquay.serving.waking import Changes
@@ -72,7 +78,7 @@
         self.served_at: OrderedDict[str, float] = OrderedDict()
         self.untold = False
         self.changed = Changes()
-        self.verdict: dict[str, Quarantined] = {}
+        self.verdict: dict[str, QuarantinedRequest] = {}
         self.crashes_by_digest: Counter[str] = Counter()
 
     def left_s(self, digest: str) -> float:
@@ -85,7 +91,7 @@
         now = monotonic()
         for crash in crashes:
             if now - self.served_at.get(crash.digest, NEVER) > SERVED_S:
-                self.own[crash.digest, crash.life] = crash
+                self.own[crash.digest, crash.incarnation] = crash
         self._bound_own(now)
         self._tell()
         self._judge()
@@ -117,7 +123,7 @@
 
     def take_own_row(self, told: Told) -> None:
         """Take in what a process of this box before this one wrote into its row."""
-        self.own = {(crash.digest, crash.life): crash for crash in told.crashes} | self.own
+        self.own = {(crash.digest, crash.incarnation): crash for crash in told.crashes} | self.own
         self.cleared = dict(told.cleared) | self.cleared
         self._bound_own(monotonic())
         self._tell()
@@ -144,9 +150,9 @@
         """Return what other boxes need to know: the crashes of quarantined requests, those of requests under
         which more than one endpoint crashed, and which requests are above suspicion."""
         by_digest: dict[str, list[Crash]] = {}
-        for crash in unexplained(self._pool(), self.verdict):
+        for crash in unexplained_crashes(self._pool(), self.verdict):
             by_digest.setdefault(crash.digest, []).append(crash)
-        suspected = [held for held in by_digest.values() if len({crash.life for crash in held}) > 1]
+        suspected = [held for held in by_digest.values() if len({crash.incarnation for crash in held}) > 1]
         groups = [list(item.crashes) for item in self.verdict.values()] + suspected
         newest = (sorted(held, key=_by_age)[:MOST_PASSED_EACH] for held in groups)
         crashes = tuple(crash for held in newest for crash in held)[:MOST_PASSED]
@@ -199,10 +205,12 @@
 
     def _judge(self) -> None:
         pool = self._pool()
-        self.crashes_by_digest = Counter(digest for digest, _ in {(item.digest, item.life) for item in pool})
-        before, self.verdict = self.verdict, quarantined(pool, monotonic())
+        self.crashes_by_digest = Counter(
+            digest for digest, _ in {(item.digest, item.incarnation) for item in pool}
+        )
+        before, self.verdict = self.verdict, find_quarantined(pool, monotonic())
         for digest in self.verdict.keys() - before.keys():
-            lives = [crash.life for crash in self.verdict[digest].crashes]
+            lives = [crash.incarnation for crash in self.verdict[digest].crashes]
             self.log.line(Decision.QUARANTINE, outcome="begun", digest=digest, crashed=lives)
         for digest in before.keys() - self.verdict.keys():
             self.log.line(Decision.QUARANTINE, outcome="ended", digest=digest)
@@ -210,14 +218,14 @@
     def _bound_own(self, now: float) -> None:
         """Forget own crashes that count no more, and the oldest beyond the most that are kept."""
         cleared = sorted(self.cleared.items(), key=lambda item: -item[1])[:MOST_OWN]
-        self.cleared = {digest: at for digest, at in cleared if now - at < KEPT_S}
+        self.cleared = {digest: at for digest, at in cleared if now - at < CRASH_TTL_S}
         count = [
             crash
             for crash in self.own.values()
-            if now - crash.at < KEPT_S and crash.at > self.cleared.get(crash.digest, NEVER)
+            if now - crash.at < CRASH_TTL_S and crash.at > self.cleared.get(crash.digest, NEVER)
         ]
         kept = sorted(count, key=_by_age)[:MOST_OWN]
-        self.own = {(crash.digest, crash.life): crash for crash in kept}
+        self.own = {(crash.digest, crash.incarnation): crash for crash in kept}
 
 
 def _by_age(crash: Crash) -> float:
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -333,7 +333,7 @@
             return known, None
         told = quarantine.to_pass_on()
         crashes = tuple(
-            CrashTold(crash.digest, crash.life, now - crash.at, crash.ran_s, crash.events)
+            CrashTold(crash.digest, crash.incarnation, now - crash.at, crash.ran_s, crash.events)
             for crash in told.crashes
         )
         cleared = tuple((digest, now - at) for digest, at in told.cleared.items())
--- a/tests/test_crash_rows.py
+++ b/tests/test_crash_rows.py
@@ -9,7 +9,7 @@
 
 from stairquay.adapters.ports import Changes, Committed, Conflict, PlatformFault
 from stairquay.core.clock import ClockOffset
-from stairquay.core.crashes import KEPT_S, Crash
+from stairquay.core.crashes import CRASH_TTL_S, Crash
 from stairquay.core.row import Row
 from stairquay.serving.crash_rows import CrashRows, decode
 from stairquay.serving.routing import RouterPart
@@ -85,8 +85,8 @@
     table = Table()
     state, rows = box(monkeypatch, table)
     told = (
-        row("old", 1, ("a", 1, KEPT_S + 1)),
-        row("young", 2, ("a", 2, KEPT_S + 1), ("a", 3, 5.0)),
+        row("old", 1, ("a", 1, CRASH_TTL_S + 1)),
+        row("young", 2, ("a", 2, CRASH_TTL_S + 1), ("a", 3, 5.0)),
         row("cleared", 3, cleared=[["a", NOW + 49.0]]),
     )
     changes = Changes(9, told)
@@ -100,7 +100,7 @@
     state, rows = box(monkeypatch, Table())
     told = [row(f"b-{number}", number, ("bad", number, 1.0)) for number in (2, 3, 4)]
     rows._apply(Changes(9, (*told, Row("b-5", "]", 5))), whole=True)
-    assert state.quarantine.left_s("bad") > KEPT_S - 2
+    assert state.quarantine.left_s("bad") > CRASH_TTL_S - 2
     rows._apply(Changes(10, (Row("b-4", None, 10),)), whole=False)
     assert state.quarantine.left_s("bad") == 0
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stairquay.core.crashes import KEPT_S, LEAST_CRASHES, Crash, quarantined
+from stairquay.core.crashes import CRASH_TTL_S, MIN_CRASHES, Crash, find_quarantined
 from stairquay.serving.quarantine import MOST_OWN, MOST_PASSED, MOST_SERVED, Quarantine, Told
 from tests.states import box_state
 
@@ -35,8 +35,8 @@
 def test_the_one_request_that_was_at_every_crash_is_found_and_none_beside_it(beside):
     crashes = [crash(GUILTY, life, ran_s=0.05) for life in range(len(beside))]
     crashes += [crash(f"well-{name}", life) for life, names in enumerate(beside) for name in names]
-    found = quarantined(crashes, 1.0)
-    assert set(found) == ({GUILTY} if len(beside) >= LEAST_CRASHES else set())
+    found = find_quarantined(crashes, 1.0)
+    assert set(found) == ({GUILTY} if len(beside) >= MIN_CRASHES else set())
 
 
 @given(BESIDE, BESIDE)
@@ -47,10 +47,10 @@
         for life, names in enumerate(beside):
             crashes.append(Crash(name, f"{name}-{life}", 0.0, 0.05, 0))
             crashes += [Crash(f"well-{other}", f"{name}-{life}", 0.0, 0.1, 0) for other in names]
-    found = quarantined(crashes, 1.0)
+    found = find_quarantined(crashes, 1.0)
     for name, beside in (("one", first), ("two", second)):
         rivals = [sum(other in names for names in first + second) for other in range(6)]
-        if len(beside) >= LEAST_CRASHES and len(beside) > max(rivals):
+        if len(beside) >= MIN_CRASHES and len(beside) > max(rivals):
             assert name in found
 
 
@@ -59,7 +59,7 @@
     lives = {"one": (0, 1, 4), "two": (2, 3, 4), "well": (0, 1, 2)}
     ran = {"one": 0.05, "two": 0.05, "well": 0.1}
     crashes = [crash(name, life, ran_s=ran[name]) for name, held in lives.items() for life in held]
-    assert set(quarantined(crashes, 1.0)) == {"one", "two"}
+    assert set(find_quarantined(crashes, 1.0)) == {"one", "two"}
 
 
 def test_what_a_router_told_counts_until_the_rows_are_read_after_it(monkeypatch):
@@ -75,16 +75,16 @@
 def test_between_equals_the_one_that_ran_shortest_is_taken_and_the_next_crash_puts_a_mistake_right():
     ran = {GUILTY: 0.3, "well": 0.1}
     crashes = [crash(name, life, ran_s=ran_s) for life in range(3) for name, ran_s in ran.items()]
-    assert set(quarantined(crashes, 1.0)) == {"well"}
-    assert set(quarantined([*crashes, crash(GUILTY, 3)], 1.0)) == {GUILTY}
+    assert set(find_quarantined(crashes, 1.0)) == {"well"}
+    assert set(find_quarantined([*crashes, crash(GUILTY, 3)], 1.0)) == {GUILTY}
 
 
 def test_a_crash_told_twice_counts_once_and_old_ones_count_no_more():
     twice = [crash(GUILTY, life) for life in (1, 1, 2, 2)]
-    assert not quarantined(twice, 1.0)
+    assert not find_quarantined(twice, 1.0)
     three = [crash(GUILTY, life, at=life) for life in range(3)]
-    assert quarantined(three, 10.0)[GUILTY].until == 2 + KEPT_S
-    assert not quarantined(three, KEPT_S + 0.5)
+    assert find_quarantined(three, 10.0)[GUILTY].until == 2 + CRASH_TTL_S
+    assert not find_quarantined(three, CRASH_TTL_S + 0.5)
 
 
 def test_a_request_that_any_box_served_is_above_suspicion_everywhere(monkeypatch):
@@ -145,14 +145,14 @@
     """Seen on a day on which half of the engines crashed each three seconds: a stream that had lost two of
     them went on at a third for 2.9 s, lost that one too, and was cut as their cause."""
     crashes = [crash("well", life, events=events) for life, events in enumerate((0, 0, 40))]
-    assert not quarantined(crashes, 1.0)
+    assert not find_quarantined(crashes, 1.0)
     long = [crash(GUILTY, life, events=300 + life) for life in range(3)]
-    assert set(quarantined(crashes + long, 1.0)) == {GUILTY}
+    assert set(find_quarantined(crashes + long, 1.0)) == {GUILTY}
 
 
 def test_a_request_that_an_engine_had_not_begun_is_half_as_suspicious_where_it_answered_others():
     waited = [crash("waits", life, events=None) for life in range(6)]
     others = [crash(f"well-{life}", life, events=5) for life in range(6)]
-    assert not quarantined(waited[:5] + others, 1.0)
-    assert set(quarantined(waited + others, 1.0)) == {"waits"}
-    assert set(quarantined(waited[:3], 1.0)) == {"waits"}
+    assert not find_quarantined(waited[:5] + others, 1.0)
+    assert set(find_quarantined(waited + others, 1.0)) == {"waits"}
+    assert set(find_quarantined(waited[:3], 1.0)) == {"waits"}
