--- a/stairquay/core/fleet.py
+++ b/stairquay/core/fleet.py
@@ -16,13 +16,13 @@
 """Seconds for which a vanished endpoint is a last resort: entries that lapsed in an outage are back two
 seconds after it, and new work must stop two seconds after an endpoint left."""
 
-LEAVING_KEPT_S = 600.0
+LEAVING_TTL_S = 600.0
 """Seconds for which an endpoint that left is remembered after its entry went: longer than any is away and
 serves on."""
 
 
 @dataclass(frozen=True)
-class LeavingLife:
+class LeavingIncarnation:
     """A life of an endpoint that leaves. born: as for Endpoint. at: monotonic seconds at which that was heard
     of, or its entry went since."""
 
@@ -65,23 +65,23 @@
 
     by_id: dict[str, Endpoint] = field(default_factory=dict)
     missing_since_by_id: dict[str, float] = field(default_factory=dict)
-    leaving_by_id: dict[str, LeavingLife] = field(default_factory=dict)
+    leaving_by_id: dict[str, LeavingIncarnation] = field(default_factory=dict)
 
-    def say_leaving(self, endpoint_id: str, born: int, now: float) -> bool:
+    def mark_leaving(self, endpoint_id: str, born: int, now: float) -> bool:
         """Take in that a life of an endpoint leaves, whoever said so; tell whether that is news."""
         known = self.leaving_by_id.get(endpoint_id)
         if known is not None and born <= known.born:
             return False
-        self.leaving_by_id[endpoint_id] = LeavingLife(born, now)
+        self.leaving_by_id[endpoint_id] = LeavingIncarnation(born, now)
         listed = self.by_id.get(endpoint_id)
-        if listed is not None and self.leaves(listed):
+        if listed is not None and self.is_leaving(listed):
             self.by_id[endpoint_id] = replace(listed, leaving=True)
         return True
 
-    def leaves(self, endpoint: Endpoint) -> bool:
+    def is_leaving(self, endpoint: Endpoint) -> bool:
         """Tell whether an endpoint leaves, whatever its entry says."""
-        left = self.leaving_by_id.get(endpoint.id)
-        return endpoint.leaving or (left is not None and endpoint.born <= left.born)
+        mark = self.leaving_by_id.get(endpoint.id)
+        return endpoint.leaving or (mark is not None and endpoint.born <= mark.born)
 
     def apply(
         self, present: Iterable[Endpoint], gone: Iterable[str], now: float, gone_since: float | None = None
@@ -92,16 +92,18 @@
             if known is not None and endpoint.is_older(known):
                 continue
             if endpoint.leaving:
-                self.say_leaving(endpoint.id, endpoint.born, now)
-            elif self.leaves(endpoint):
+                self.mark_leaving(endpoint.id, endpoint.born, now)
+            elif self.is_leaving(endpoint):
                 endpoint = replace(endpoint, leaving=True)
             self.by_id[endpoint.id] = endpoint
             self.missing_since_by_id.pop(endpoint.id, None)
         for endpoint_id in gone:
-            self._miss(endpoint_id, now if gone_since is None else gone_since, now)
-        self._forget(now)
+            self._remove(endpoint_id, now if gone_since is None else gone_since, now)
+        self._expire(now)
 
-    def apply_whole(self, present: Iterable[Endpoint], now: float, gone_since: float | None = None) -> None:
+    def apply_snapshot(
+        self, present: Iterable[Endpoint], now: float, gone_since: float | None = None
+    ) -> None:
         """Take in the whole list; what it lacks is gone, with `gone_since` as for changed entries."""
         listed = tuple(present)
         ids = {endpoint.id for endpoint in listed}
@@ -119,7 +121,7 @@
         """Return all endpoints that the list has, leaving ones included."""
         return [item for item in self.by_id.values() if item.id not in self.missing_since_by_id]
 
-    def _miss(self, endpoint_id: str, since: float, now: float) -> None:
+    def _remove(self, endpoint_id: str, since: float, now: float) -> None:
         known = self.by_id.get(endpoint_id)
         if known is None:
             return
@@ -130,12 +132,14 @@
             return
         self.missing_since_by_id.setdefault(endpoint_id, since)
 
-    def _forget(self, now: float) -> None:
-        old = [key for key, since in self.missing_since_by_id.items() if now - since > MISSING_GRACE_S]
-        for endpoint_id in old:
+    def _expire(self, now: float) -> None:
+        expired_missing = [
+            key for key, since in self.missing_since_by_id.items() if now - since > MISSING_GRACE_S
+        ]
+        for endpoint_id in expired_missing:
             del self.missing_since_by_id[endpoint_id]
             self.by_id.pop(endpoint_id, None)
-        left = [key for key, life in self.leaving_by_id.items() if now - life.at > LEAVING_KEPT_S]
-        for endpoint_id in left:
+        expired = [key for key, leaving in self.leaving_by_id.items() if now - leaving.at > LEAVING_TTL_S]
+        for endpoint_id in expired:
             if endpoint_id not in self.by_id:
                 del self.leaving_by_id[endpoint_id]
--- a/stairquay/serving/asking.py
+++ b/stairquay/serving/asking.py
@@ -168,7 +168,7 @@
         if endpoint is None:
             return reply.endpoint in state.fleet.leaving_by_id
         by_router = UNLIMITED if reply.said is None else reply.said.per_s
-        if limit_of(state.of(endpoint)) < by_router or state.fleet.leaves(endpoint):
+        if limit_of(state.of(endpoint)) < by_router or state.fleet.is_leaving(endpoint):
             return True
         return endpoint.id in rests_of(state, now)
 
--- a/stairquay/serving/evacuation.py
+++ b/stairquay/serving/evacuation.py
@@ -30,7 +30,7 @@
 def takes_work(state: BoxState, endpoint: Endpoint) -> bool:
     """Tell whether an endpoint may get new work now: it is not known to be leaving, and its hall stays."""
     known = state.fleet.by_id.get(endpoint.id, endpoint)
-    return not state.fleet.leaves(known) and known.data_hall not in state.evacuated
+    return not state.fleet.is_leaving(known) and known.data_hall not in state.evacuated
 
 
 def _log(state: BoxState, hall: str, outcome: str, revision: int) -> None:
--- a/stairquay/serving/following.py
+++ b/stairquay/serving/following.py
@@ -212,7 +212,7 @@
     now = monotonic()
     gone_since = _gone_since(state, now)
     if changes.whole:
-        state.fleet.apply_whole(changes.present, now, gone_since)
+        state.fleet.apply_snapshot(changes.present, now, gone_since)
     else:
         state.fleet.apply(changes.present, changes.gone, now, gone_since)
     state.list_asked_at = asked_at - changes.behind_s
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -41,7 +41,7 @@
 
 def take_leaving(state: BoxState, endpoint_id: str, born: int, source: str) -> None:
     """Take in that a life of an endpoint leaves: nothing new goes there. source: who said so, for the log."""
-    if not state.fleet.say_leaving(endpoint_id, born, monotonic()):
+    if not state.fleet.mark_leaving(endpoint_id, born, monotonic()):
         return
     listed = state.fleet.by_id.get(endpoint_id)
     state.log.line(
--- a/tests/test_serving_core.py
+++ b/tests/test_serving_core.py
@@ -72,7 +72,7 @@
     fleet.apply([Endpoint("e", "s", "a:1"), Endpoint("f", "s", "a:2")], [], 0.0)
     fleet.apply([], ["e"], 1.0)
     assert [item.id for item in fleet.usable("s", 1.1)] == ["f"]
-    fleet.apply_whole([], 2.0)
+    fleet.apply_snapshot([], 2.0)
     assert {item.id for item in fleet.usable("s", 2.1)} == {"e", "f"}
     assert [item.id for item in fleet.usable("s", 1.0 + MISSING_GRACE_S + 0.1)] == ["f"]
     assert fleet.usable("s", 2.0 + MISSING_GRACE_S + 0.1) == []
