--- a/stairquay/core/holdings.py
+++ b/stairquay/core/holdings.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-Key = tuple[str, str]
+PartKey = tuple[str, str]
 """The scope under which context is kept, and a part's id."""
 
 MAX_DROPPED = 2_000
@@ -29,12 +29,12 @@
 class Holding:
     """What one holder keeps: tokens by key, their total, and the last event's number about each key."""
 
-    life: int = 0
+    incarnation: int = 0
     position: int = 0
-    heard_at: float = 0.0
+    updated_at: float = 0.0
     total: int = 0
-    tokens_by_key: dict[Key, int] = field(default_factory=dict)
-    number_by_key: dict[Key, int] = field(default_factory=dict)
+    tokens_by_key: dict[PartKey, int] = field(default_factory=dict)
+    number_by_key: dict[PartKey, int] = field(default_factory=dict)
 
 
 @dataclass
@@ -42,14 +42,14 @@
     """All holders by address, and the holders of each part."""
 
     by_address: dict[str, Holding] = field(default_factory=dict)
-    holders_by_key: dict[Key, set[str]] = field(default_factory=dict)
+    holders_by_key: dict[PartKey, set[str]] = field(default_factory=dict)
 
     def replace(
-        self, address: str, life: int, position: int, parts: Iterable[tuple[Key, int]], now: float
+        self, address: str, incarnation: int, position: int, parts: Iterable[tuple[PartKey, int]], now: float
     ) -> None:
         """Take in a whole list of what a holder keeps."""
         self.forget(address)
-        holding = Holding(life, position, now)
+        holding = Holding(incarnation, position, now)
         self.by_address[address] = holding
         for key, tokens in parts:
             self._set(address, holding, key, tokens, position)
@@ -58,7 +58,7 @@
         """Take in a holder's events; one that is older than what is known of its part changes nothing."""
         holding = self.by_address.setdefault(address, Holding())
         holding.position = position
-        holding.heard_at = now
+        holding.updated_at = now
         for event in events:
             key = (event.scope, event.part)
             if event.number > holding.number_by_key.get(key, -1):
@@ -88,7 +88,7 @@
         """Return the addresses believed to keep some of a part."""
         return self.holders_by_key.get((scope, part), set())
 
-    def _set(self, address: str, holding: Holding, key: Key, tokens: int, number: int) -> None:
+    def _set(self, address: str, holding: Holding, key: PartKey, tokens: int, number: int) -> None:
         holding.number_by_key[key] = number
         holding.total += tokens - holding.tokens_by_key.get(key, 0)
         if tokens > 0:
@@ -106,7 +106,7 @@
         for key in dropped[: len(dropped) // 2]:
             del holding.number_by_key[key]
 
-    def _drop_holder(self, address: str, key: Key) -> None:
+    def _drop_holder(self, address: str, key: PartKey) -> None:
         holders = self.holders_by_key.get(key)
         if holders is None:
             return
--- a/stairquay/core/limits.py
+++ b/stairquay/core/limits.py
@@ -12,15 +12,15 @@
 UNLIMITED = inf
 """Requests a second of an endpoint that names no limit."""
 
-MAX_DIGITS = 32
+MAX_NUMBER_LENGTH = 32
 """Longest text that is read as a number."""
 
-DECIMAL = re.compile(r"(\d+\.?\d*|\.\d+)(e[+-]?\d{1,3})?", re.ASCII | re.IGNORECASE)
+DECIMAL_PATTERN = re.compile(r"(\d+\.?\d*|\.\d+)(e[+-]?\d{1,3})?", re.ASCII | re.IGNORECASE)
 """A decimal number without a sign; words such as `nan` are none."""
 
 
 @dataclass(frozen=True)
-class LimitNews:
+class LimitReport:
     """What an answer said of its endpoint's limit, in requests a second from all callers together.
 
     sent_at, heard_at: monotonic seconds between which the answer was begun: when its request was sent, and
@@ -32,27 +32,29 @@
     heard_at: float
 
 
-def read_decimal(text: str) -> float | None:
+def parse_decimal(text: str) -> float | None:
     """Return a decimal number that an answer gives, None where the text is none: a limit in requests a
     second, a rest in seconds."""
     text = text.strip()
-    if len(text) > MAX_DIGITS or DECIMAL.fullmatch(text) is None:
+    if len(text) > MAX_NUMBER_LENGTH or DECIMAL_PATTERN.fullmatch(text) is None:
         return None
     value = float(text)
     return value if isfinite(value) else None
 
 
-def newer(known: LimitNews | None, told: LimitNews) -> LimitNews:
+def merge_reports(known: LimitReport | None, received: LimitReport) -> LimitReport:
     """Return what holds after two statements about one endpoint, whichever of them was heard of first.
 
     One is newer than another only if its request was sent after the other's answer had come. Where neither
     is, the lower limit holds: answers that cross must not end a limit. It keeps its own times: an answer that
     names none must not make a limit seem to have been heard again.
     """
-    if known is None or told.sent_at >= known.heard_at:
-        return told
-    if known.sent_at >= told.heard_at:
+    if known is None or received.sent_at >= known.heard_at:
+        return received
+    if known.sent_at >= received.heard_at:
         return known
-    if known.per_s != told.per_s:
-        return min(known, told, key=lambda news: news.per_s)
-    return LimitNews(known.per_s, max(known.sent_at, told.sent_at), max(known.heard_at, told.heard_at))
+    if known.per_s != received.per_s:
+        return min(known, received, key=lambda report: report.per_s)
+    return LimitReport(
+        known.per_s, max(known.sent_at, received.sent_at), max(known.heard_at, received.heard_at)
+    )
--- a/stairquay/core/rest.py
+++ b/stairquay/core/rest.py
@@ -5,7 +5,7 @@
 from datetime import UTC, datetime
 from email.utils import parsedate_to_datetime
 
-from stairquay.core.limits import read_decimal
+from stairquay.core.limits import parse_decimal
 
 LONGEST_REST_S = 3_600.0
 """Seconds after which an endpoint is tried again that asked for a longer rest."""
@@ -43,7 +43,7 @@
     It is a decimal number of seconds, or a date as HTTP writes it: then it lasts from `now`, by the clock of
     who wrote it, until that date. A date that is over asks for nothing.
     """
-    seconds = read_decimal(text)
+    seconds = parse_decimal(text)
     if seconds is None:
         until = _read_date(text)
         if until is None:
--- a/stairquay/platform/peers.py
+++ b/stairquay/platform/peers.py
@@ -7,7 +7,7 @@
 from absl import logging
 from aiohttp import ClientError, ClientSession
 
-from stairquay.core.holdings import Key, PartEvent
+from stairquay.core.holdings import PartEvent, PartKey
 from stairquay.platform.connections import CONNECT_S
 from stairquay.platform.names import (
     FREE_PATH,
@@ -128,7 +128,7 @@
         partial = tuple((item[0] or "", item[1]) for item in found.partial)
         return Kept(found.boot_epoch, found.next_page_token, parts, partial)
 
-    async def free(self, address: str, keys: tuple[Key, ...], life: int) -> bool:
+    async def free(self, address: str, keys: tuple[PartKey, ...], life: int) -> bool:
         """Free parts at a store box of a given life; tell whether it was done."""
         body = {"parts": [list(key) for key in keys], "boot_epoch": life}
         status = await self._post(f"http://{address}{FREE_PATH}", body, {})
--- a/stairquay/platform/statements.py
+++ b/stairquay/platform/statements.py
@@ -6,7 +6,7 @@
 
 from multidict import CIMultiDictProxy
 
-from stairquay.core.limits import UNLIMITED, read_decimal
+from stairquay.core.limits import UNLIMITED, parse_decimal
 from stairquay.core.rest import read_rest, read_time
 from stairquay.platform.names import DATE, LEAVING, LIMIT, RETRY_AFTER
 from stairquay.serving.ports import Statement, Topic
@@ -24,7 +24,7 @@
 def statement(headers: Headers, status: int) -> Statement:
     """Return what an answer's head says of its endpoint. Of several limits the lowest holds, of several rests
     the longest."""
-    limit = _read(headers, LIMIT, read_decimal, min, UNLIMITED)
+    limit = _read(headers, LIMIT, parse_decimal, min, UNLIMITED)
     leaving = _read(headers, LEAVING, _read_leaving, max, False)
     rest: float | None = 0.0
     if status == TURNED_AWAY:
--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -4,7 +4,7 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from stairquay.core.limits import LimitNews
+from stairquay.core.limits import LimitReport
 from stairquay.core.pace import Pace
 from stairquay.core.rest import Rest
 from stairquay.serving.ports import EngineReport, Topic
@@ -58,7 +58,7 @@
     doubted_at: float = NEVER
     router_pace: Pace | None = None
     alone_pace: Pace | None = None
-    limit: LimitNews | None = None
+    limit: LimitReport | None = None
     limit_ended_at: float = NEVER
     rest: Rest | None = None
     unreadable_by_topic: dict[Topic, str] = field(default_factory=dict)
--- a/stairquay/serving/ports.py
+++ b/stairquay/serving/ports.py
@@ -15,7 +15,7 @@
 from stairquay.core.clock import ClockOffset
 from stairquay.core.errors import ErrorKind, Ran, Refusal
 from stairquay.core.fleet import Endpoint
-from stairquay.core.holdings import Key, PartEvent
+from stairquay.core.holdings import PartEvent, PartKey
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.row import Row
 
@@ -143,8 +143,8 @@
 
     life: int
     position: int
-    parts: tuple[tuple[Key, int], ...]
-    partial: tuple[Key, ...] = ()
+    parts: tuple[tuple[PartKey, int], ...]
+    partial: tuple[PartKey, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -194,7 +194,7 @@
     async def kept(self, address: str) -> Kept | None:
         """Return all that a holder keeps."""
 
-    async def free(self, address: str, keys: tuple[Key, ...], life: int) -> bool:
+    async def free(self, address: str, keys: tuple[PartKey, ...], life: int) -> bool:
         """Free parts at a store box, unless it has started anew; tell whether it was done."""
 
     async def order(self, order: VersionOrder) -> OrderAnswer:
--- a/stairquay/serving/routing.py
+++ b/stairquay/serving/routing.py
@@ -15,7 +15,7 @@
 from stairquay.core.call import Part, PromptShape
 from stairquay.core.catalog import WorkspacePolicy
 from stairquay.core.fleet import Endpoint
-from stairquay.core.holdings import Key
+from stairquay.core.holdings import PartKey
 from stairquay.core.placement import read_s
 from stairquay.core.routers import Engine, engines_of
 from stairquay.serving.choosing import Choice, Wanted
@@ -77,7 +77,7 @@
     reading_s: float
     tokens: int
     address: str = ""
-    shared: tuple[tuple[Key, int], ...] = ()
+    shared: tuple[tuple[PartKey, int], ...] = ()
     paced: bool = False
 
 
@@ -88,7 +88,7 @@
         self.state = state
         self.random = random
         self.placed_by_ticket: dict[str, Placed] = {}
-        self.reader_by_key: dict[Key, str] = {}
+        self.reader_by_key: dict[PartKey, str] = {}
         self.server: grpc.aio.Server | None = None
 
     async def run(self) -> None:
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -9,7 +9,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.fleet import Endpoint
-from stairquay.core.limits import UNLIMITED, LimitNews, newer
+from stairquay.core.limits import UNLIMITED, LimitReport, merge_reports
 from stairquay.core.rest import Rest
 from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import EndpointState
@@ -32,7 +32,7 @@
     for topic, text in said.unreadable:
         _take_unreadable(state, endpoint, held, topic, text)
     if said.limit_per_s is not None:
-        take_limit(state, endpoint, held, LimitNews(said.limit_per_s, sent_at, now))
+        take_limit(state, endpoint, held, LimitReport(said.limit_per_s, sent_at, now))
     if said.leaving:
         take_leaving(state, endpoint.id, held.born, "answer")
     if said.rest_s is not None:
@@ -94,13 +94,13 @@
     return spread_s * before / max(1, boxes)
 
 
-def take_limit(state: BoxState, endpoint: Endpoint, held: EndpointState, told: LimitNews) -> None:
+def take_limit(state: BoxState, endpoint: Endpoint, held: EndpointState, told: LimitReport) -> None:
     """Take in what an answer said of its endpoint's limit, here or at another box."""
     if held.limit is None and told.per_s == UNLIMITED:
         return
     before = limit_of(held)
     state.limited.add(endpoint.id)
-    held.limit = newer(held.limit, told)
+    held.limit = merge_reports(held.limit, told)
     now_per_s = limit_of(held)
     if now_per_s == before:
         return
--- a/stairquay/serving/telling.py
+++ b/stairquay/serving/telling.py
@@ -5,7 +5,7 @@
 from msgspec import structs
 
 from stairquay.core.fleet import Endpoint
-from stairquay.core.limits import UNLIMITED, LimitNews
+from stairquay.core.limits import UNLIMITED, LimitReport
 from stairquay.serving.endpoint import EndpointState
 from stairquay.serving.messages import StatementTold
 from stairquay.serving.state import BoxState
@@ -55,7 +55,7 @@
             take_leaving(state, item.endpoint, born, "box")
         if endpoint is None or held is None or (item.born and held.born and item.born != held.born):
             continue
-        news = LimitNews(item.per_s, now - item.sent_ago_s - PASSING_S, now - item.heard_ago_s)
+        news = LimitReport(item.per_s, now - item.sent_ago_s - PASSING_S, now - item.heard_ago_s)
         take_limit(state, endpoint, held, news)
 
 
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -8,7 +8,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.catalog import Catalog, StoreSpec
-from stairquay.core.holdings import Key
+from stairquay.core.holdings import PartKey
 from stairquay.core.scope import parse_scope
 from stairquay.core.versions import VersionHistory
 from stairquay.serving.choosing import FETCH_S
@@ -78,19 +78,19 @@
         keys = tuple(key for key in holding.tokens_by_key if self._useless(key))[:AT_ONCE]
         if not keys:
             return
-        done = await self.peers.free(store.address, keys, holding.life)
+        done = await self.peers.free(store.address, keys, holding.incarnation)
         if done:
             self.state.metrics.freed.inc(len(keys))
         self.state.log.line(
             Decision.FREED,
             store=store.id,
             parts=len(keys),
-            life=holding.life,
+            life=holding.incarnation,
             oldest=self.oldest_by_model,
             outcome="freed" if done else "refused or silent",
         )
 
-    def _useless(self, key: Key) -> bool:
+    def _useless(self, key: PartKey) -> bool:
         scope = parse_scope(key[0])
         if scope is None:
             return False
--- a/stairquay/serving/weighing.py
+++ b/stairquay/serving/weighing.py
@@ -81,7 +81,7 @@
         store
         for store in catalog.stores_by_id.values()
         if (holding := state.holdings.by_address.get(store.address)) is not None
-        and now - holding.heard_at < STORE_VIEW_S
+        and now - holding.updated_at < STORE_VIEW_S
     ]
 
 
--- a/tests/loads/test_limits_of_endpoints.py
+++ b/tests/loads/test_limits_of_endpoints.py
@@ -18,7 +18,7 @@
 
 from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec
 from stairquay.core.fleet import Endpoint
-from stairquay.core.limits import UNLIMITED, LimitNews
+from stairquay.core.limits import UNLIMITED, LimitReport
 from stairquay.core.pace import LIMIT_SHARES, Pace
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.pacing import count_sent, wait_s
@@ -134,7 +134,7 @@
 
     def _answered(self, box: int, sent_at: float, now: float, per_s: float) -> None:
         state = self.boxes[box]
-        take_limit(state, self.endpoint, state.of(self.endpoint), LimitNews(per_s, sent_at, now))
+        take_limit(state, self.endpoint, state.of(self.endpoint), LimitReport(per_s, sent_at, now))
         if per_s < UNLIMITED:
             self.told_at_by_box.setdefault(box, now)
 
--- a/tests/loads/test_limits_that_fall.py
+++ b/tests/loads/test_limits_that_fall.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from stairquay.core.limits import LimitNews
+from stairquay.core.limits import LimitReport
 from stairquay.serving.pacing import count_sent, wait_s
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import take_limit
@@ -24,7 +24,7 @@
 
 
 def names(state: BoxState, per_s: float, at: float) -> None:
-    take_limit(state, PLAIN, state.of(PLAIN), LimitNews(per_s, at, at))
+    take_limit(state, PLAIN, state.of(PLAIN), LimitReport(per_s, at, at))
 
 
 def sends(state: BoxState, at: float, chance: Random) -> bool:
