--- a/stairquay/core/pace.py
+++ b/stairquay/core/pace.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 from random import Random
 
-LEAST_PER_S = 0.2
+MIN_PER_S = 0.2
 """Requests a second that an endpoint gets all the same which takes fewer, or none: without any, nobody would
 hear that this is over."""
 
 
 @dataclass(frozen=True)
-class Shares:
+class RateShares:
     """Shares of a bound, by who decides.
 
     router: each router that believes that the endpoint is its own. alone: all boxes together that decide
@@ -27,33 +27,33 @@
     """
 
     router: float
-    alone: float
-    split: float
+    standalone: float
+    unrouted: float
     burst: int
 
 
-COLD_SHARES = Shares(router=0.7, alone=0.2, split=0.7, burst=3)
+COLD_SHARES = RateShares(router=0.7, standalone=0.2, unrouted=0.7, burst=3)
 """One router alone stays below what a cold endpoint bears. Two that both believe that the endpoint is theirs
 send, with their burst, 1.7 times as much in their worst second where it bears 18; an endpoint falls over at
 about 1.8 times. On virtual time, 71 boxes that decide alone beside a router stay below what fells an
 endpoint; 6 to 330 without one send under half of it."""
 
-LIMIT_SHARES = Shares(router=0.65, alone=0.2, split=0.9, burst=2)
+LIMIT_SHARES = RateShares(router=0.65, standalone=0.2, unrouted=0.9, burst=2)
 """A limit may be passed by a half over some seconds. Two routers that both believe that the endpoint is
 theirs, and all boxes that decide alone, stay below that together; one router and those boxes use up to 0.85
 of it. Where boxes split it, their number may grow by two thirds before all of them know."""
 
 
 @dataclass(frozen=True)
-class Bound:
+class RateBound:
     """What an endpoint takes, in requests a second over all callers, and how that is shared out."""
 
     per_s: float
-    shares: Shares
+    shares: RateShares
 
 
 @dataclass
-class Pace:
+class Pacer:
     """Spaces requests evenly, with some at once after a pause.
 
     next_at: monotonic time of the next one, at per_s requests a second; 0 before any was counted.
@@ -72,7 +72,7 @@
         self.change_rate(now, per_s)
         self.next_at = max(now, self.next_at) + 1 / per_s
 
-    def take_back(self) -> None:
+    def refund(self) -> None:
         """Stop counting a request that was never sent."""
         if self.per_s > 0:
             self.next_at -= 1 / self.per_s
@@ -84,11 +84,11 @@
         self.per_s = per_s
 
 
-def pace_alone(before: Pace | None, now: float, per_s: float, chance: Random) -> Pace:
+def standalone_pacer(previous: Pacer | None, now: float, per_s: float, rng: Random) -> Pacer:
     """Return the pace of a box that decides alone. One that sent nothing for long starts at a moment drawn by
     chance, as all others do."""
-    if before is not None:
-        before.change_rate(now, per_s)
-        if now < before.next_at + 1 / per_s:
-            return before
-    return Pace(now + chance.random() / per_s, per_s)
+    if previous is not None:
+        previous.change_rate(now, per_s)
+        if now < previous.next_at + 1 / per_s:
+            return previous
+    return Pacer(now + rng.random() / per_s, per_s)
--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from stairquay.core.limits import LimitReport
-from stairquay.core.pace import Pace
+from stairquay.core.pace import Pacer
 from stairquay.core.rest import Rest
 from stairquay.serving.ports import EngineReport, Topic
 
@@ -56,8 +56,8 @@
     known_since: float = NEVER
     cold_until: float = NEVER
     doubted_at: float = NEVER
-    router_pace: Pace | None = None
-    alone_pace: Pace | None = None
+    router_pace: Pacer | None = None
+    alone_pace: Pacer | None = None
     limit: LimitReport | None = None
     limit_ended_at: float = NEVER
     rest: Rest | None = None
--- a/stairquay/serving/pacing.py
+++ b/stairquay/serving/pacing.py
@@ -9,7 +9,7 @@
 
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED
-from stairquay.core.pace import COLD_SHARES, LEAST_PER_S, LIMIT_SHARES, Bound, Pace, pace_alone
+from stairquay.core.pace import COLD_SHARES, LIMIT_SHARES, MIN_PER_S, Pacer, RateBound, standalone_pacer
 from stairquay.serving.cold import cold_for_s, cold_limit_of
 from stairquay.serving.endpoint import NEVER, EndpointState
 from stairquay.serving.evacuation import takes_work
@@ -31,15 +31,15 @@
 """Longest time by which callers that are refused together are told to come one after the other."""
 
 
-def bounds_of(state: BoxState, endpoint: Endpoint, now: float) -> list[Bound]:
+def bounds_of(state: BoxState, endpoint: Endpoint, now: float) -> list[RateBound]:
     """Return what bounds the work of an endpoint now; nothing does usually."""
     bounds = []
     named = limit_of(state.of(endpoint))
     if named < UNLIMITED:
-        bounds.append(Bound(max(LEAST_PER_S, named), LIMIT_SHARES))
+        bounds.append(RateBound(max(MIN_PER_S, named), LIMIT_SHARES))
     cold = cold_limit_of(state, endpoint)
     if cold is not None and cold_for_s(state, endpoint, now) > 0:
-        bounds.append(Bound(cold.per_s, COLD_SHARES))
+        bounds.append(RateBound(cold.per_s, COLD_SHARES))
     return bounds
 
 
@@ -72,10 +72,10 @@
 def take_back(held: EndpointState) -> None:
     """As its router, stop counting a request that never reached an endpoint."""
     if held.router_pace is not None:
-        held.router_pace.take_back()
+        held.router_pace.refund()
 
 
-def own_per_s(state: BoxState, endpoint: Endpoint, bounds: list[Bound]) -> float:
+def own_per_s(state: BoxState, endpoint: Endpoint, bounds: list[RateBound]) -> float:
     """Return the requests a second that this box may send to an endpoint, by the strictest of its bounds."""
     return min(bound.per_s * _own_share(state, endpoint, bound) for bound in bounds)
 
@@ -114,7 +114,7 @@
     return told_s
 
 
-def _returning_per_s(state: BoxState, endpoint: Endpoint, bounds: list[Bound] | None) -> float:
+def _returning_per_s(state: BoxState, endpoint: Endpoint, bounds: list[RateBound] | None) -> float:
     """Return the requests a second that an endpoint takes later of those that this box refuses now: by its
     bounds, or by its places and how long an answer takes."""
     if bounds:
@@ -131,22 +131,22 @@
     return min(pause_s, cold_for_s(state, endpoint, now), COLD_RETRY_S)
 
 
-def _own_share(state: BoxState, endpoint: Endpoint, bound: Bound) -> float:
+def _own_share(state: BoxState, endpoint: Endpoint, bound: RateBound) -> float:
     if endpoint.id in state.routed_engines:
         return bound.shares.router
     boxes = UNKNOWN_BOXES if state.boxes_known_at == NEVER else max(1, len(state.boxes))
     routed = state.catalog is not None and state.catalog.engine_of(endpoint.service) is not None
-    return (bound.shares.alone if routed else bound.shares.split) / boxes
+    return (bound.shares.standalone if routed else bound.shares.unrouted) / boxes
 
 
-def _router_pace(state: BoxState, endpoint: Endpoint, now: float) -> Pace:
+def _router_pace(state: BoxState, endpoint: Endpoint, now: float) -> Pacer:
     held = state.of(endpoint)
     if held.router_pace is None:
-        held.router_pace = Pace(now)
+        held.router_pace = Pacer(now)
     return held.router_pace
 
 
-def _alone_pace(state: BoxState, endpoint: Endpoint, now: float, per_s: float, chance: Random) -> Pace:
+def _alone_pace(state: BoxState, endpoint: Endpoint, now: float, per_s: float, chance: Random) -> Pacer:
     held = state.of(endpoint)
-    held.alone_pace = pace_alone(held.alone_pace, now, per_s, chance)
+    held.alone_pace = standalone_pacer(held.alone_pace, now, per_s, chance)
     return held.alone_pace
--- a/tests/loads/test_hall_returns_cold.py
+++ b/tests/loads/test_hall_returns_cold.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from stairquay.core.pace import COLD_SHARES, Pace, pace_alone
+from stairquay.core.pace import COLD_SHARES, Pacer, standalone_pacer
 
 BEARS_PER_S = 18.0
 FALLS_OVER = 32
@@ -27,7 +27,7 @@
 
 def router(start: float = 0.0) -> Sender:
     """A router that has always more prompts than the engine may get."""
-    pace = Pace(start)
+    pace = Pacer(start)
     per_s = BEARS_PER_S * COLD_SHARES.router
 
     def sends(now: float) -> bool:
@@ -39,13 +39,13 @@
     return sends
 
 
-def box_alone(boxes: int, chance: Random, share: float = COLD_SHARES.alone) -> Sender:
+def box_alone(boxes: int, chance: Random, share: float = COLD_SHARES.standalone) -> Sender:
     """A box that finds no router to ask, and always has a prompt for the engine."""
-    held: list[Pace | None] = [None]
+    held: list[Pacer | None] = [None]
     per_s = BEARS_PER_S * share / boxes
 
     def sends(now: float) -> bool:
-        pace = held[0] = pace_alone(held[0], now, per_s, chance)
+        pace = held[0] = standalone_pacer(held[0], now, per_s, chance)
         if pace.wait_s(now, per_s) > 0:
             return False
         pace.take(now, per_s)
@@ -56,7 +56,7 @@
 
 def box_with_full_share(boxes: int) -> Sender:
     """The way that lost: each box may spend its share of a second at once, and at least one request."""
-    pace = Pace(0.0)
+    pace = Pacer(0.0)
     per_s = BEARS_PER_S / boxes
 
     def sends(now: float) -> bool:
@@ -97,7 +97,7 @@
 def test_boxes_without_any_router_do_not_send_in_the_same_second(boxes):
     chance = Random(boxes)
     assert busiest_second([box_alone(boxes, chance) for _ in range(boxes)]) < FALLS_OVER / 2
-    assert busiest_second([box_alone(boxes, chance, COLD_SHARES.split) for _ in range(boxes)]) < FALLS_OVER
+    assert busiest_second([box_alone(boxes, chance, COLD_SHARES.unrouted) for _ in range(boxes)]) < FALLS_OVER
 
 
 def test_shares_that_may_be_spent_at_once_would_fell_it():
--- a/tests/loads/test_limits_of_endpoints.py
+++ b/tests/loads/test_limits_of_endpoints.py
@@ -19,7 +19,7 @@
 from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED, LimitReport
-from stairquay.core.pace import LIMIT_SHARES, Pace
+from stairquay.core.pace import LIMIT_SHARES, Pacer
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.pacing import count_sent, wait_s
 from stairquay.serving.ports import EndpointChanges
@@ -276,7 +276,7 @@
 def test_two_routers_that_each_spent_nearly_all_of_a_limit_would_pass_it(share):
     """The ways that lost."""
     per_s = 9.0
-    paces = [Pace(0.0), Pace(0.0)]
+    paces = [Pacer(0.0), Pacer(0.0)]
     sent = 0
     for step in range(400):
         for pace in paces:
