--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -111,8 +111,8 @@
     "one_by_one": Switch(
         "loading new weights on a few engines at a time",
         "stairquay/core/rollout.py",
-        "AT_ONCE_SHARE = 0.3",
-        "AT_ONCE_SHARE = 1.0",
+        "CONCURRENT_LOADS_SHARE = 0.3",
+        "CONCURRENT_LOADS_SHARE = 1.0",
     ),
     "full_pause": Switch(
         "leaving an endpoint alone that turned a request away",
--- a/stairquay/core/rest.py
+++ b/stairquay/core/backoff.py
@@ -7,22 +7,22 @@
 
 from stairquay.core.limits import parse_decimal
 
-LONGEST_REST_S = 3_600.0
+MAX_BACKOFF_S = 3_600.0
 """Seconds after which an endpoint is tried again that asked for a longer rest."""
 
-TRY_AGAIN_S = 0.5
+PROBE_INTERVAL_S = 0.5
 """Seconds between two requests to an endpoint whose rest is over, until one of them is answered."""
 
 
 @dataclass(frozen=True)
-class Rest:
+class Backoff:
     """A rest that an endpoint asked for, in monotonic seconds.
 
     tried_at: when a request was last sent there since the rest was asked for, None where none was.
     """
 
     until: float
-    tried_at: float | None = None
+    probed_at: float | None = None
 
     def wait_s(self, now: float) -> float:
         """Return the seconds until the endpoint may get a request, 0 where it may now.
@@ -32,12 +32,12 @@
         """
         if now < self.until:
             return self.until - now
-        if self.tried_at is None:
+        if self.probed_at is None:
             return 0.0
-        return max(0.0, self.tried_at + TRY_AGAIN_S - now)
+        return max(0.0, self.probed_at + PROBE_INTERVAL_S - now)
 
 
-def read_rest(text: str, now: datetime) -> float | None:
+def parse_retry_after(text: str, now: datetime) -> float | None:
     """Return the seconds of rest that an answer asks for, None where the text says nothing of the kind.
 
     It is a decimal number of seconds, or a date as HTTP writes it: then it lasts from `now`, by the clock of
@@ -45,21 +45,21 @@
     """
     seconds = parse_decimal(text)
     if seconds is None:
-        until = _read_date(text)
+        until = _parse_http_date(text)
         if until is None:
             return None
         seconds = max(0.0, (until - now).total_seconds())
-    return min(seconds, LONGEST_REST_S)
+    return min(seconds, MAX_BACKOFF_S)
 
 
-def read_time(text: str, otherwise: datetime) -> datetime:
+def parse_date(text: str, default: datetime) -> datetime:
     """Return the time that an answer gives for itself, another one where it gives none."""
-    return _read_date(text) or otherwise
+    return _parse_http_date(text) or default
 
 
-def _read_date(text: str) -> datetime | None:
+def _parse_http_date(text: str) -> datetime | None:
     try:
-        read = parsedate_to_datetime(text)
+        parsed = parsedate_to_datetime(text)
     except (ValueError, TypeError, IndexError, OverflowError):
         return None
-    return read if read.tzinfo is not None else read.replace(tzinfo=UTC)
+    return parsed if parsed.tzinfo is not None else parsed.replace(tzinfo=UTC)
--- a/stairquay/core/rollout.py
+++ b/stairquay/core/rollout.py
@@ -4,25 +4,25 @@
 from dataclasses import dataclass
 from math import ceil
 
-AT_ONCE_SHARE = 0.3
+CONCURRENT_LOADS_SHARE = 0.3
 """Share of the engines that load at the same time, one at least: one of 5, 16 of 56, where two and 22 load at
 full speed. The others must hold the memory of all runs, about 0.6 of it at usual load; and all are to be
 through in less than twelve seconds, at a second and a half each."""
 
-DONE_SHARE = 0.9
+DEADLINE_SHARE = 0.9
 """Share of the time in which a version is to be everywhere by which all engines are to have loaded it. Where
 the loads left, one after the other, would take longer, more engines load at once, and only as many as that
 takes: while all load, nothing is served. With all of them at once after half of the time, 46 prompts were
 refused in three runs of a calm half minute with two versions, and 1 so."""
 
-LOAD_S = 1.5
+LOAD_DURATION_S = 1.5
 """Seconds from an order until the report that it is done: engines load for 0.9 to 1.3 s, and reports are 0.2
 to 0.5 s old. Longer than that only means that a few more load at once."""
 
-ORDER_SETTLES_S = 6.0
+ACCEPTED_ORDER_TIMEOUT_S = 6.0
 """Seconds for which an order that was taken counts as under way without a visible effect."""
 
-SILENT_SETTLES_S = 2.5
+UNANSWERED_ORDER_TIMEOUT_S = 2.5
 """Seconds after which an order that got no answer is given again: it may be carried out later, and its
 count of orders then no longer fits."""
 
@@ -42,15 +42,15 @@
 
 
 @dataclass(frozen=True)
-class Given:
+class IssuedOrder:
     """An order that was given, by monotonic time. `answered`: the engine said that it took it."""
 
     at: float
     answered: bool = True
 
-    def settles(self, now: float) -> bool:
+    def is_pending(self, now: float) -> bool:
         """Tell whether the order may still show its effect."""
-        return now - self.at < (ORDER_SETTLES_S if self.answered else SILENT_SETTLES_S)
+        return now - self.at < (ACCEPTED_ORDER_TIMEOUT_S if self.answered else UNANSWERED_ORDER_TIMEOUT_S)
 
 
 @dataclass(frozen=True)
@@ -63,15 +63,15 @@
     sequence: int | None
 
 
-def outdated(engines: Iterable[EngineState], named: Mapping[str, int]) -> list[EngineState]:
+def outdated(engines: Iterable[EngineState], target_versions: Mapping[str, int]) -> list[EngineState]:
     """Return the engines that run an older version than the one named for their model."""
-    return [engine for engine in engines if engine.version < named.get(engine.model, 0)]
+    return [engine for engine in engines if engine.version < target_versions.get(engine.model, 0)]
 
 
 def next_orders(
     engines: Iterable[EngineState],
-    named: Mapping[str, int],
-    given: Mapping[tuple[str, int], Given],
+    target_versions: Mapping[str, int],
+    issued: Mapping[tuple[str, int], IssuedOrder],
     now: float,
     within_s: float = float("inf"),
 ) -> list[Order]:
@@ -83,39 +83,46 @@
     a version is to be everywhere.
     """
     known = list(engines)
-    settling = {
-        engine.id: sent for engine in known if (sent := _settling(engine, named, given, now)) is not None
+    pending = {
+        engine.id: order
+        for engine in known
+        if (order := _pending_order(engine, target_versions, issued, now)) is not None
     }
     loading = {engine.id for engine in known if engine.busy}
-    loading |= {key for key, sent in settling.items() if sent.answered}
-    behind = outdated(known, named)
+    loading |= {key for key, order in pending.items() if order.answered}
+    behind = outdated(known, target_versions)
     ready = [
         engine
         for engine in behind
-        if engine.id not in loading and engine.id not in settling and engine.sequence is not None
+        if engine.id not in loading and engine.id not in pending and engine.sequence is not None
+    ]
+    candidates = sorted(ready, key=lambda engine: (engine.version, engine.running, engine.id))
+    concurrency = max(1, int(len(known) * CONCURRENT_LOADS_SHARE), _required_concurrency(behind, within_s))
+    free = max(0, concurrency - len(loading))
+    return [
+        Order(item.id, item.model, target_versions[item.model], item.sequence) for item in candidates[:free]
     ]
-    waiting = sorted(ready, key=lambda engine: (engine.version, engine.running, engine.id))
-    at_once = max(1, int(len(known) * AT_ONCE_SHARE), _needed_at_once(behind, within_s))
-    free = max(0, at_once - len(loading))
-    return [Order(item.id, item.model, named[item.model], item.sequence) for item in waiting[:free]]
 
 
-def _needed_at_once(behind: Iterable[EngineState], within_s: float) -> int:
+def _required_concurrency(behind: Iterable[EngineState], within_s: float) -> int:
     """Return how many engines must load at the same time so that each has done so in time, those first whose
     weights have been replaced for longest."""
     needed = 0
     for loads, replaced_s in enumerate(sorted((item.replaced_s for item in behind), reverse=True), start=1):
-        left_s = max(LOAD_S, within_s * DONE_SHARE - replaced_s)
-        needed = max(needed, ceil(loads * LOAD_S / left_s))
+        left_s = max(LOAD_DURATION_S, within_s * DEADLINE_SHARE - replaced_s)
+        needed = max(needed, ceil(loads * LOAD_DURATION_S / left_s))
     return needed
 
 
-def _settling(
-    engine: EngineState, named: Mapping[str, int], given: Mapping[tuple[str, int], Given], now: float
-) -> Given | None:
+def _pending_order(
+    engine: EngineState,
+    target_versions: Mapping[str, int],
+    issued: Mapping[tuple[str, int], IssuedOrder],
+    now: float,
+) -> IssuedOrder | None:
     """Return the order that an engine that is behind may still be carrying out."""
-    version = named.get(engine.model, 0)
-    sent = given.get((engine.id, version))
-    if engine.version >= version or sent is None or not sent.settles(now):
+    version = target_versions.get(engine.model, 0)
+    order = issued.get((engine.id, version))
+    if engine.version >= version or order is None or not order.is_pending(now):
         return None
-    return sent
+    return order
--- a/stairquay/platform/statements.py
+++ b/stairquay/platform/statements.py
@@ -6,8 +6,8 @@
 
 from multidict import CIMultiDictProxy
 
+from stairquay.core.backoff import parse_date, parse_retry_after
 from stairquay.core.limits import UNLIMITED, parse_decimal
-from stairquay.core.rest import read_rest, read_time
 from stairquay.platform.names import DATE, LEAVING, LIMIT, RETRY_AFTER
 from stairquay.serving.ports import Statement, Topic
 
@@ -28,8 +28,8 @@
     leaving = _read(headers, LEAVING, _read_leaving, max, False)
     rest: float | None = 0.0
     if status == TURNED_AWAY:
-        answered_at = read_time(headers.get(DATE, ""), datetime.now(UTC))
-        rest = _read(headers, RETRY_AFTER, lambda text: read_rest(text, answered_at), max, 0.0)
+        answered_at = parse_date(headers.get(DATE, ""), datetime.now(UTC))
+        rest = _read(headers, RETRY_AFTER, lambda text: parse_retry_after(text, answered_at), max, 0.0)
     names_by_topic = {Topic.LIMIT: LIMIT, Topic.LEAVING: LEAVING, Topic.REST: RETRY_AFTER}
     values = {Topic.LIMIT: limit, Topic.LEAVING: leaving, Topic.REST: rest}
     unreadable = tuple(
--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -4,9 +4,9 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
+from stairquay.core.backoff import Backoff
 from stairquay.core.limits import LimitReport
 from stairquay.core.pace import Pacer
-from stairquay.core.rest import Rest
 from stairquay.serving.ports import EngineReport, Topic
 
 NEVER = float("-inf")
@@ -60,7 +60,7 @@
     alone_pace: Pacer | None = None
     limit: LimitReport | None = None
     limit_ended_at: float = NEVER
-    rest: Rest | None = None
+    rest: Backoff | None = None
     unreadable_by_topic: dict[Topic, str] = field(default_factory=dict)
 
     in_flight: int = 0
--- a/stairquay/serving/orders.py
+++ b/stairquay/serving/orders.py
@@ -16,7 +16,7 @@
 from stairquay.adapters.ports import Commit, Committed, Condition, Write
 from stairquay.core.fleet import Endpoint
 from stairquay.core.lease import Held, LeaseRow, Observed, next_row, observe
-from stairquay.core.rollout import EngineState, Given, Order, next_orders, outdated
+from stairquay.core.rollout import EngineState, IssuedOrder, Order, next_orders, outdated
 from stairquay.serving.decisions import Decision
 from stairquay.serving.ports import OrderAnswer, OwnTable, Peers, VersionOrder
 from stairquay.serving.state import BoxState
@@ -42,7 +42,7 @@
         self.peers = peers
         self.held: Held | None = None
         self.observed: Observed | None = None
-        self.given: dict[tuple[str, int], Given] = {}
+        self.given: dict[tuple[str, int], IssuedOrder] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
@@ -184,7 +184,7 @@
 
     def _give(self, orders: list[Order]) -> None:
         for order in orders:
-            self.given[order.engine, order.version] = Given(monotonic())
+            self.given[order.engine, order.version] = IssuedOrder(monotonic())
             task = asyncio.create_task(self._order(order))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -209,7 +209,7 @@
         if answer in (OrderAnswer.CONFLICT, OrderAnswer.REFUSED):
             self.given.pop((order.engine, order.version), None)
         if answer == OrderAnswer.SILENT:
-            self.given[order.engine, order.version] = Given(monotonic(), answered=False)
+            self.given[order.engine, order.version] = IssuedOrder(monotonic(), answered=False)
         self.state.metrics.orders.labels(answer.value).inc()
         self.state.log.line(
             Decision.ORDER,
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -8,9 +8,9 @@
 from dataclasses import replace
 
 from stairquay.adapters.clock import monotonic
+from stairquay.core.backoff import Backoff
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED, LimitReport, merge_reports
-from stairquay.core.rest import Rest
 from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import EndpointState
 from stairquay.serving.ports import Statement, Topic
@@ -70,7 +70,7 @@
     if rest is not None and rest.until >= now + rest_s:
         return
     later_s = _own_turn_s(state, endpoint, held, rest_s)
-    held.rest = Rest(now + rest_s + later_s)
+    held.rest = Backoff(now + rest_s + later_s)
     state.resting.add(endpoint.id)
     state.log.line(
         Decision.REST,
@@ -160,4 +160,4 @@
 def note_tried(held: EndpointState, now: float) -> None:
     """Take in that a request goes to an endpoint, which shows whether its rest is over."""
     if held.rest is not None:
-        held.rest = replace(held.rest, tried_at=now)
+        held.rest = replace(held.rest, probed_at=now)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -7,7 +7,7 @@
 from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec
 from stairquay.core.cold import ColdLimit
 from stairquay.core.fleet import Endpoint, Fleet
-from stairquay.core.rollout import Given
+from stairquay.core.rollout import IssuedOrder
 from stairquay.core.routers import Member
 from stairquay.serving.cold import RETURN_CAUTION_S, cold_for_s
 from stairquay.serving.following import apply_endpoints, apply_operators
@@ -127,7 +127,7 @@
 def test_an_order_that_the_last_life_took_does_not_hold_up_the_next_one():
     state = state_with(ENGINE)
     giver = OrderGiver(state, None, None)
-    giver.given = {("e", 2): Given(monotonic() - 0.1), ("f", 2): Given(monotonic())}
+    giver.given = {("e", 2): IssuedOrder(monotonic() - 0.1), ("f", 2): IssuedOrder(monotonic())}
     giver._forget_old_lives()
     assert len(giver.given) == 2
     listed(state, replace(ENGINE, born=2_000, sequence=1))
--- a/tests/test_serving_core.py
+++ b/tests/test_serving_core.py
@@ -14,12 +14,12 @@
 from stairquay.core.holdings import MAX_DROPPED, Holdings, PartEvent
 from stairquay.core.placement import EngineView, Source, pick_quickest, rank_placements
 from stairquay.core.rollout import (
-    DONE_SHARE,
-    LOAD_S,
-    ORDER_SETTLES_S,
-    SILENT_SETTLES_S,
+    ACCEPTED_ORDER_TIMEOUT_S,
+    DEADLINE_SHARE,
+    LOAD_DURATION_S,
+    UNANSWERED_ORDER_TIMEOUT_S,
     EngineState,
-    Given,
+    IssuedOrder,
     next_orders,
 )
 from stairquay.core.scope import Scope, parse_scope
@@ -241,9 +241,9 @@
 
 def test_an_order_that_shows_no_effect_is_given_again_and_a_newer_version_overtakes_it():
     one = [ENGINES[0]]
-    given_before = {("e0", 2): Given(100.0)}
-    assert not next_orders(one, {"m": 2}, given_before, 100.0 + ORDER_SETTLES_S - 0.1)
-    assert next_orders(one, {"m": 2}, given_before, 100.0 + ORDER_SETTLES_S + 0.1)
+    given_before = {("e0", 2): IssuedOrder(100.0)}
+    assert not next_orders(one, {"m": 2}, given_before, 100.0 + ACCEPTED_ORDER_TIMEOUT_S - 0.1)
+    assert next_orders(one, {"m": 2}, given_before, 100.0 + ACCEPTED_ORDER_TIMEOUT_S + 0.1)
     assert next_orders(one, {"m": 3}, given_before, 100.1)[0].version == 3
     assert not next_orders([replace(one[0], version=2)], {"m": 2}, {}, 0.0)
     assert not next_orders([replace(one[0], sequence=None)], {"m": 2}, {}, 0.0)
@@ -270,10 +270,10 @@
 
 
 def test_an_order_without_answer_holds_up_no_other_engine_and_is_given_again_sooner():
-    given_before = {("e0", 2): Given(100.0, answered=False), ("e1", 2): Given(100.0)}
+    given_before = {("e0", 2): IssuedOrder(100.0, answered=False), ("e1", 2): IssuedOrder(100.0)}
     orders = next_orders(ENGINES, {"m": 2}, given_before, 101.0)
     assert [order.engine for order in orders] == ["e2", "e3"]
-    again = next_orders(ENGINES[:1], {"m": 2}, given_before, 100.0 + SILENT_SETTLES_S + 0.1)
+    again = next_orders(ENGINES[:1], {"m": 2}, given_before, 100.0 + UNANSWERED_ORDER_TIMEOUT_S + 0.1)
     assert [order.engine for order in again] == ["e0"]
 
 
@@ -296,7 +296,7 @@
     engines = [EngineState(str(n), "m", 1, sequence=0, replaced_s=age) for n, age in enumerate(ages)]
     at_once = len(next_orders(engines, {"m": 2}, {}, 0.0, within_s))
     for loads, age in enumerate(sorted(ages, reverse=True), start=1):
-        if within_s * DONE_SHARE - age >= LOAD_S:
-            assert loads * LOAD_S / at_once <= within_s * DONE_SHARE - age + 1e-6
+        if within_s * DEADLINE_SHARE - age >= LOAD_DURATION_S:
+            assert loads * LOAD_DURATION_S / at_once <= within_s * DEADLINE_SHARE - age + 1e-6
         else:
             assert at_once >= loads
--- a/tests/test_statements_read.py
+++ b/tests/test_statements_read.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from stairquay.core.rest import LONGEST_REST_S, TRY_AGAIN_S, Rest, read_rest
+from stairquay.core.backoff import MAX_BACKOFF_S, PROBE_INTERVAL_S, Backoff, parse_retry_after
 from stairquay.platform.statements import statement
 from stairquay.serving.ports import Statement, Topic
 
@@ -21,10 +21,10 @@
 
 @pytest.mark.parametrize(
     ("text", "rest_s"),
-    [("3", 3.0), (" 0.25 ", 0.25), ("1.5", 1.5), ("0", 0.0), (".5", 0.5), ("99999999", LONGEST_REST_S)],
+    [("3", 3.0), (" 0.25 ", 0.25), ("1.5", 1.5), ("0", 0.0), (".5", 0.5), ("99999999", MAX_BACKOFF_S)],
 )
 def test_a_rest_is_a_decimal_number_of_seconds(text, rest_s):
-    assert read_rest(text, NOON) == rest_s
+    assert parse_retry_after(text, NOON) == rest_s
 
 
 @pytest.mark.parametrize(
@@ -46,19 +46,19 @@
     ],
 )
 def test_what_is_neither_seconds_nor_a_date_asks_for_nothing(text):
-    assert read_rest(text, NOON) is None
+    assert parse_retry_after(text, NOON) is None
 
 
 @given(st.integers(-100_000, 100_000))
 def test_a_date_is_a_rest_until_then_and_one_that_is_over_none(ahead_s):
     text = format_datetime(NOON + timedelta(seconds=ahead_s), usegmt=True)
-    assert read_rest(text, NOON) == min(max(0, ahead_s), LONGEST_REST_S)
+    assert parse_retry_after(text, NOON) == min(max(0, ahead_s), MAX_BACKOFF_S)
 
 
 @given(st.text(max_size=40))
 def test_no_text_raises(text):
-    rest_s = read_rest(text, NOON)
-    assert rest_s is None or 0 <= rest_s <= LONGEST_REST_S
+    rest_s = parse_retry_after(text, NOON)
+    assert rest_s is None or 0 <= rest_s <= MAX_BACKOFF_S
 
 
 def test_a_date_counts_by_the_clock_of_who_wrote_it():
@@ -89,7 +89,7 @@
 
 
 def test_after_a_rest_one_request_goes_and_others_wait_for_it():
-    rest = Rest(until=10.0)
+    rest = Backoff(until=10.0)
     assert rest.wait_s(7.5) == 2.5 and rest.wait_s(10.0) == 0
-    assert Rest(10.0, tried_at=10.0).wait_s(10.0) == TRY_AGAIN_S
-    assert Rest(10.0, tried_at=10.0).wait_s(10.0 + TRY_AGAIN_S) == 0
+    assert Backoff(10.0, probed_at=10.0).wait_s(10.0) == PROBE_INTERVAL_S
+    assert Backoff(10.0, probed_at=10.0).wait_s(10.0 + PROBE_INTERVAL_S) == 0
