--- a/stairquay/boxes.py
+++ b/stairquay/boxes.py
@@ -12,7 +12,7 @@
 from aiohttp import ClientError, ClientSession
 from result import Err, Ok, Result
 
-from stairquay.core.routers import Member, followers, pick_routers
+from stairquay.core.routers import Member, pick_followers, pick_routers
 from stairquay.core.row import Row
 from stairquay.platform.connections import open_session
 from stairquay.platform.rows import OwnRows, TableClient
@@ -79,7 +79,7 @@
     finally:
         await session.close()
     routers = pick_routers([sight.member for sight in sights if sight.view_age_s is not None])
-    following = followers(routers)
+    following = pick_followers(routers)
     return Ok(FleetSight(tuple(sights), _names(routers), _names(following)))
 
 
--- a/stairquay/core/attempt.py
+++ b/stairquay/core/attempt.py
@@ -83,7 +83,7 @@
         return bool(_MACHINE.events[name].trigger(self))
 
 
-def worst(first: Ran, second: Ran) -> Ran:
+def combine_ran(first: Ran, second: Ran) -> Ran:
     """Return what holds for a request after two of its attempts."""
     order = [Ran.NOT_RUN, Ran.UNKNOWN, Ran.RAN]
     return max(first, second, key=order.index)
--- a/stairquay/core/budget.py
+++ b/stairquay/core/budget.py
@@ -7,13 +7,13 @@
 SLACK_SHARE = 0.7
 """Shares of the allowance that are used, so that rounding and boxes not yet known do not exceed it."""
 
-FIRST_WINDOW_SHARE = 0.4
+FIRST_WINDOW_SLACK_SHARE = 0.4
 """Share of its slack to which a box comes within its first window. A box that was killed may have spent its
 whole slack right before, so that both together spend up to 1.4 of it: 0.7 * 1.4 is still below 1."""
 
 
 @dataclass(frozen=True)
-class Allowance:
+class RetryAllowance:
     """Repeats allowed in any window: `ratio` of the requests, and `slack` over all boxes."""
 
     ratio: float = 0.1
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class WindowBudget:
+class WindowedRetryBudget:
     """Counts one service's requests and repeats at this box in a sliding window (monotonic seconds).
 
     What it counted ends with the process, and what a process before it spent is not known. That is why slack
@@ -37,9 +37,9 @@
     allow nothing any more.
     """
 
-    allowance: Allowance
+    allowance: RetryAllowance
     requests: deque[float] = field(default_factory=deque)
-    repeats: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
     def on_request(self, now: float) -> None:
         """Count a request that came in."""
@@ -52,22 +52,22 @@
         known_s: for how long this process has known how many boxes share the allowance, 0 where it does not.
         """
         self._expire(now)
-        own_slack = self.allowance.slack * SLACK_SHARE / max(1, boxes) * self._grown_share(known_s)
-        allowed = self.allowance.ratio * RATIO_SHARE * len(self.requests) + own_slack
-        if len(self.repeats) + 1 > allowed:
+        box_slack = self.allowance.slack * SLACK_SHARE / max(1, boxes) * self._usable_slack_share(known_s)
+        allowed = self.allowance.ratio * RATIO_SHARE * len(self.requests) + box_slack
+        if len(self.retries) + 1 > allowed:
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
-    def _grown_share(self, known_s: float) -> float:
+    def _usable_slack_share(self, known_s: float) -> float:
         """Return the share of its slack that a box may use."""
         window_s = self.allowance.window_s
         if known_s <= 0:
             return 0.0
         # A window counts its both ends: a repeat right at the start may have been of the process before.
-        return 1.0 if known_s > window_s else FIRST_WINDOW_SHARE * known_s / window_s
+        return 1.0 if known_s > window_s else FIRST_WINDOW_SLACK_SHARE * known_s / window_s
 
     def _expire(self, now: float) -> None:
-        for times in (self.requests, self.repeats):
+        for times in (self.requests, self.retries):
             while times and times[0] < now - self.allowance.window_s:
                 times.popleft()
--- a/stairquay/core/ownership.py
+++ b/stairquay/core/ownership.py
@@ -10,10 +10,10 @@
 
 from xxhash import xxh3_64_intdigest
 
-OWNERS = 3
+DEFAULT_OWNERS = 3
 """How many owners are ranked by default: the first, and those to ask where it is silent."""
 
 
-def ranked(family: bytes, names: Iterable[str], count: int = OWNERS) -> list[str]:
+def rank_owners(key: bytes, names: Iterable[str], count: int = DEFAULT_OWNERS) -> list[str]:
     """Return the owners of a family, best first, at most `count`."""
-    return nlargest(count, names, key=lambda name: xxh3_64_intdigest(family + name.encode()))
+    return nlargest(count, names, key=lambda name: xxh3_64_intdigest(key + name.encode()))
--- a/stairquay/core/routers.py
+++ b/stairquay/core/routers.py
@@ -13,26 +13,26 @@
 
 from xxhash import xxh3_64_intdigest
 
-from stairquay.core.ownership import ranked
+from stairquay.core.ownership import rank_owners
 
 BOXES_PER_ROUTER = 40
 """Boxes of a data hall for which one routes. 85 boxes in three halls have three routers, each with 185
 prompts a second and 19 engines."""
 
-ENGINES_PER_ROUTER = 8
+MIN_ENGINES_PER_ROUTER = 8
 """Fewest engines for which one routes: with fewer, the other routers stand by. A router of one or two engines
 could not choose, and its boxes would ask a second one for most prompts."""
 
 MIN_ROUTERS = 2
 """Fewest routers: where one is gone, another is there."""
 
-FOLLOWERS = 2
+FOLLOWER_COUNT = 2
 """Routers that follow the table service and pass it on to all boxes, the other routers among them: where one
 is gone, another is there. Each makes about five calls a second, and every call is priced: two in place of
 four save 0.005 of the payoff owed, a third of what all calls cost (6 paired runs)."""
 
-ENOUGH_CORES = 0.5
-ENOUGH_MBPS = 50.0
+FULL_CAPACITY_CORES = 0.5
+FULL_CAPACITY_MBPS = 50.0
 """Processor and link from which a box is as good a router as any larger one: 140 prompts a second take about
 0.2 of a core; views for 24 boxes and questions about prompts take about 3 Mbit/s."""
 
@@ -57,7 +57,7 @@
 
 def capacity(cores: float, link_mbps: float) -> float:
     """Return how well a box can route for others, from 0 to 1."""
-    return min(1.0, cores / ENOUGH_CORES, link_mbps / ENOUGH_MBPS)
+    return min(1.0, cores / FULL_CAPACITY_CORES, link_mbps / FULL_CAPACITY_MBPS)
 
 
 def pick_routers(members: Sequence[Member]) -> tuple[Member, ...]:
@@ -65,28 +65,28 @@
     members_by_hall: dict[str, list[Member]] = {}
     for member in members:
         members_by_hall.setdefault(member.data_hall, []).append(member)
-    picked = []
-    for inside in members_by_hall.values():
-        picked += _best(inside, ceil(len(inside) / BOXES_PER_ROUTER))
-    others = [member for member in members if member not in picked]
-    picked += _best(others, max(0, MIN_ROUTERS - len(picked)))
-    return tuple(sorted(picked, key=lambda member: member.id))
+    routers = []
+    for hall_members in members_by_hall.values():
+        routers += _highest_capacity(hall_members, ceil(len(hall_members) / BOXES_PER_ROUTER))
+    others = [member for member in members if member not in routers]
+    routers += _highest_capacity(others, max(0, MIN_ROUTERS - len(routers)))
+    return tuple(sorted(routers, key=lambda member: member.id))
 
 
-def followers(routers: Sequence[Member]) -> list[Member]:
+def pick_followers(routers: Sequence[Member]) -> list[Member]:
     """Return the routers that follow the table service for all."""
-    return list(routers[:FOLLOWERS])
+    return list(routers[:FOLLOWER_COUNT])
 
 
-def placing(routers: Sequence[Member], engines: int) -> list[Member]:
+def pick_placing_routers(routers: Sequence[Member], engines: int) -> list[Member]:
     """Return the routers among which so many engines are shared out; the others stand by."""
-    return list(routers[: max(1, engines // ENGINES_PER_ROUTER)])
+    return list(routers[: max(1, engines // MIN_ENGINES_PER_ROUTER)])
 
 
 def routers_for(box: Member, routers: Iterable[Member]) -> list[Member]:
     """Return the routers in the order in which a box asks them: those of its own data hall first."""
     by_id = {router.id: router for router in routers}
-    order = [by_id[name] for name in ranked(box.id.encode(), by_id, len(by_id))]
+    order = [by_id[name] for name in rank_owners(box.id.encode(), by_id, len(by_id))]
     return sorted(order, key=lambda router: router.data_hall != box.data_hall)
 
 
@@ -100,30 +100,32 @@
         names_by_hall.setdefault(hall, []).append(engine.id)
     found: set[str] = set()
     for hall, names in names_by_hall.items():
-        inside = [item.id for item in routers if item.data_hall == hall] or [item.id for item in routers]
-        found |= _share(router, names, inside)
+        hall_routers = [item.id for item in routers if item.data_hall == hall] or [
+            item.id for item in routers
+        ]
+        found |= _assigned_engines(router, names, hall_routers)
     return frozenset(found)
 
 
-def _best(members: Iterable[Member], count: int) -> list[Member]:
+def _highest_capacity(members: Iterable[Member], count: int) -> list[Member]:
     reachable = [member for member in members if member.address]
     return sorted(reachable, key=lambda member: (-member.capacity, xxh3_64_intdigest(member.id.encode())))[
         :count
     ]
 
 
-def _share(router: str, engines: Iterable[str], routers: Sequence[str]) -> set[str]:
+def _assigned_engines(router: str, engines: Iterable[str], routers: Sequence[str]) -> set[str]:
     """Return one router's engines: none has more than an even share, and few move as engines come and go."""
-    wanted = sorted(engines)
+    ordered = sorted(engines)
     if router not in routers:
         return set()
-    most = ceil(len(wanted) / len(routers))
-    taken = dict.fromkeys(routers, 0)
+    max_engines = ceil(len(ordered) / len(routers))
+    assigned = dict.fromkeys(routers, 0)
     found = set()
-    for engine in wanted:
-        free = [name for name in routers if taken[name] < most]
-        owner = ranked(engine.encode(), free, 1)[0]
-        taken[owner] += 1
+    for engine in ordered:
+        free = [name for name in routers if assigned[name] < max_engines]
+        owner = rank_owners(engine.encode(), free, 1)[0]
+        assigned[owner] += 1
         if owner == router:
             found.add(engine)
     return found
--- a/stairquay/core/versions.py
+++ b/stairquay/core/versions.py
@@ -3,13 +3,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-MAX_SIGHTS = 8
+MAX_RECORDS = 8
 """Versions remembered of one model. Engines are rarely more than two behind; what is forgotten of older ones
 makes them count as replaced earlier, never later."""
 
 
 @dataclass(frozen=True)
-class Sight:
+class VersionRecord:
     """A version, and the earliest monotonic time in seconds at which it was known to be there."""
 
     version: int
@@ -20,26 +20,28 @@
 class VersionHistory:
     """The versions of one model as they came, the oldest first."""
 
-    sights: list[Sight] = field(default_factory=list)
+    records: list[VersionRecord] = field(default_factory=list)
 
     def record(self, version: int, at: float) -> None:
         """Note that a version was there at a time; the earliest time of each version counts."""
-        self._keep([*self.sights, Sight(version, at)])
+        self._replace_records([*self.records, VersionRecord(version, at)])
 
-    def fall_back(self, version: int, at: float) -> None:
+    def roll_back(self, version: int, at: float) -> None:
         """Note that a version is the newest again: what was known of newer ones does not hold any more."""
-        self._keep([*(sight for sight in self.sights if sight.version <= version), Sight(version, at)])
+        self._replace_records(
+            [*(record for record in self.records if record.version <= version), VersionRecord(version, at)]
+        )
 
     def replaced_at(self, version: int) -> float | None:
         """Return when the first version newer than this one was there, None where there is none."""
-        return min((sight.at for sight in self.sights if sight.version > version), default=None)
+        return min((record.at for record in self.records if record.version > version), default=None)
 
-    def _keep(self, sights: Iterable[Sight]) -> None:
+    def _replace_records(self, records: Iterable[VersionRecord]) -> None:
         earliest: dict[int, float] = {}
-        for sight in sights:
-            earliest[sight.version] = min(sight.at, earliest.get(sight.version, sight.at))
-        kept = [Sight(version, earliest[version]) for version in sorted(earliest)]
-        while len(kept) > MAX_SIGHTS:
+        for record in records:
+            earliest[record.version] = min(record.at, earliest.get(record.version, record.at))
+        kept = [VersionRecord(version, earliest[version]) for version in sorted(earliest)]
+        while len(kept) > MAX_RECORDS:
             first, second = kept[:2]
-            kept[:2] = [Sight(second.version, min(first.at, second.at))]
-        self.sights = kept
+            kept[:2] = [VersionRecord(second.version, min(first.at, second.at))]
+        self.records = kept
--- a/stairquay/entry/targets.py
+++ b/stairquay/entry/targets.py
@@ -13,7 +13,7 @@
 from stairquay.core.errors import ErrorKind, Refusal
 from stairquay.core.identity import Prompt, kept_ids
 from stairquay.core.models import Service, Workspace
-from stairquay.core.ownership import ranked
+from stairquay.core.ownership import rank_owners
 from stairquay.entry.context import EntryContext
 
 SUSPECT_S = 2.0
@@ -119,7 +119,7 @@
 
     def _owners(self, family: bytes) -> list[str]:
         routers = self.context.view.live_routers()
-        return self.suspects.order([routers[key] for key in ranked(family, routers)])
+        return self.suspects.order([routers[key] for key in rank_owners(family, routers)])
 
     def _import_wait_s(self, deadline: float) -> float:
         return max(0.0, min(self.context.settings.import_wait_s, deadline - monotonic()))
--- a/stairquay/platform/boot.py
+++ b/stairquay/platform/boot.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from stairquay.core.budget import Allowance
+from stairquay.core.budget import RetryAllowance
 from stairquay.core.mistake import Mistake
 from stairquay.serving.settings import BoxSettings, FreshnessSettings, LeaseSettings
 
@@ -65,7 +65,7 @@
         max_descriptors=int(fields.number("limits.max_fds", DEFAULT_DESCRIPTORS)),
         freshness=_freshness(fields),
         lease=LeaseSettings(handover_s=fields.number("bounds.lease_ms", 3_000.0) / 1000 + HANDOVER_SLACK_S),
-        repeats=Allowance(
+        repeats=RetryAllowance(
             ratio=fields.number("bounds.retry_budget_ratio", 0.1),
             slack=fields.number("bounds.budget_slack", 10.0),
             window_s=fields.number("bounds.budget_window_s", 10.0),
--- a/stairquay/router/exporting.py
+++ b/stairquay/router/exporting.py
@@ -17,7 +17,7 @@
 from stairquay.core.admission import TokenBucket
 from stairquay.core.keeping import KEEP_POLICIES, ExportCandidate
 from stairquay.core.models import Service
-from stairquay.core.ownership import ranked
+from stairquay.core.ownership import rank_owners
 from stairquay.core.residency import Segment
 from stairquay.core.routing import block_bytes
 from stairquay.router.state import RouterState, Ticket
@@ -132,7 +132,7 @@
         live = [key for key in service.stores if key in self.state.stores()]
         if not live:
             return None
-        order = ranked(ticket.prompt.family, live)
+        order = rank_owners(ticket.prompt.family, live)
         held = {key: len(self.state.kept.run(key, ticket.ids, 0)) for key in order}
         most = max(order, key=lambda key: held[key])
         return most if held[most] > max(held[order[0]], len(ticket.ids) / 2) else order[0]
--- a/stairquay/serving/boxes.py
+++ b/stairquay/serving/boxes.py
@@ -153,7 +153,7 @@
             tuple(
                 NamedVersion(model, sight.version, offset.to_remote(sight.at))
                 for model, history in self.state.namings_by_model.items()
-                for sight in history.sights
+                for sight in history.records
             ),
             None if viewed_at is None else offset.to_remote(viewed_at),
         )
--- a/stairquay/serving/choosing.py
+++ b/stairquay/serving/choosing.py
@@ -9,7 +9,7 @@
 from stairquay.core.call import PromptShape
 from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec, WorkspacePolicy
 from stairquay.core.fleet import Endpoint
-from stairquay.core.ownership import ranked
+from stairquay.core.ownership import rank_owners
 from stairquay.core.placement import (
     EngineView,
     Placement,
@@ -141,7 +141,7 @@
 def _familiar(sender: str, candidates: Sequence[Endpoint]) -> frozenset[str]:
     """Return the engines that a box sends to first: some of them, other ones for each box."""
     count = ceil(len(candidates) * FAMILIAR_SHARE)
-    return frozenset(ranked(sender.encode(), [item.id for item in candidates], count))
+    return frozenset(rank_owners(sender.encode(), [item.id for item in candidates], count))
 
 
 def _closed(state: BoxState, endpoint: Endpoint) -> bool:
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -113,7 +113,7 @@
         job.call.id,
         outcome="not_sent_again",
         detail="the budget for sending again is spent",
-        repeats=len(budget.repeats),
+        repeats=len(budget.retries),
         requests=len(budget.requests),
         boxes=len(state.boxes),
     )
--- a/stairquay/serving/settings.py
+++ b/stairquay/serving/settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from stairquay.core.budget import Allowance
+from stairquay.core.budget import RetryAllowance
 
 
 @dataclass(frozen=True)
@@ -61,4 +61,4 @@
     max_descriptors: int = 1024
     freshness: FreshnessSettings = field(default_factory=FreshnessSettings)
     lease: LeaseSettings = field(default_factory=LeaseSettings)
-    repeats: Allowance = field(default_factory=Allowance)
+    repeats: RetryAllowance = field(default_factory=RetryAllowance)
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass, field
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.budget import WindowBudget
+from stairquay.core.budget import WindowedRetryBudget
 from stairquay.core.catalog import Catalog
 from stairquay.core.fleet import Endpoint, Fleet
 from stairquay.core.holdings import Holdings
-from stairquay.core.routers import Member, capacity, followers, placing
+from stairquay.core.routers import Member, capacity, pick_followers, pick_placing_routers
 from stairquay.core.versions import VersionHistory
 from stairquay.serving.decisions import Decision, DecisionLog
 from stairquay.serving.endpoint import NEVER, EndpointState
@@ -79,7 +79,7 @@
     namings_by_model: dict[str, VersionHistory] = field(default_factory=dict)
     endpoints_by_id: dict[str, EndpointState] = field(default_factory=dict)
     holdings: Holdings = field(default_factory=Holdings)
-    budgets_by_service: dict[str, WindowBudget] = field(default_factory=dict)
+    budgets_by_service: dict[str, WindowedRetryBudget] = field(default_factory=dict)
     boxes: tuple[str, ...] = ()
     boxes_known_at: float = NEVER
     operators_revision: int = 0
@@ -149,7 +149,7 @@
 
     def following_routers(self) -> list[Member]:
         """Return the routers that follow the table service now."""
-        return followers(self.live_routers())
+        return pick_followers(self.live_routers())
 
     def placing_routers(self) -> list[Member]:
         """Return the routers that place prompts now: not suspected, as far as there are engines, and none in
@@ -163,7 +163,7 @@
         )
         live = self.live_routers()
         staying = [router for router in live if router.data_hall not in self.evacuated]
-        return placing(staying or live, engines)
+        return pick_placing_routers(staying or live, engines)
 
     def list_age(self) -> float:
         """Return the age of the list of endpoints in seconds."""
@@ -312,11 +312,11 @@
         begins_s = replaced_s + first_token_s * FIRST_TOKEN_FACTOR
         return replaced_s > 0 and begins_s > self.settings.versions_within_s * TOO_OLD_SHARE
 
-    def budget(self, service: str) -> WindowBudget:
+    def budget(self, service: str) -> WindowedRetryBudget:
         """Return the budget for sending a service's requests again."""
         budget = self.budgets_by_service.get(service)
         if budget is None:
-            budget = self.budgets_by_service[service] = WindowBudget(self.settings.repeats)
+            budget = self.budgets_by_service[service] = WindowedRetryBudget(self.settings.repeats)
         return budget
 
     def take_repeat(self, service: str) -> bool:
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -69,7 +69,7 @@
         for model, version in oldest.items():
             if self.oldest_by_model.get(model) != version:
                 self.oldest_by_model[model] = version
-                self.oldest_seen_by_model.setdefault(model, VersionHistory()).fall_back(version, monotonic())
+                self.oldest_seen_by_model.setdefault(model, VersionHistory()).roll_back(version, monotonic())
 
     async def _free(self, store: StoreSpec) -> None:
         holding = self.state.holdings.by_address.get(store.address)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -18,7 +18,7 @@
 from stairquay.core.load import EndpointLoad, LoadReport
 from stairquay.core.membership import Membership
 from stairquay.core.models import Box, BoxKind, BoxList, BoxState, EngineCosts, Workspace
-from stairquay.core.ownership import ranked
+from stairquay.core.ownership import rank_owners
 from stairquay.core.residency import EngineMemory, KeptBlock, KeptIndex, Segment
 from stairquay.core.retry import Ejector, RetryBudget
 from stairquay.core.routing import Candidate, Demand, KeptRun, best_way, choose
@@ -100,9 +100,9 @@
 
 @given(st.sets(st.text(min_size=1, max_size=3), min_size=2, max_size=9), st.binary(min_size=4, max_size=4))
 def test_losing_a_router_moves_only_its_own_families(routers, family):
-    order = ranked(family, routers, len(routers))
+    order = rank_owners(family, routers, len(routers))
     for lost in routers:
-        rest = ranked(family, routers - {lost}, len(routers))
+        rest = rank_owners(family, routers - {lost}, len(routers))
         assert rest[0] == (order[1] if order[0] == lost else order[0])
 
 
--- a/tests/test_routers.py
+++ b/tests/test_routers.py
@@ -8,14 +8,14 @@
 
 from stairquay.core.routers import (
     BOXES_PER_ROUTER,
-    ENGINES_PER_ROUTER,
+    MIN_ENGINES_PER_ROUTER,
     Engine,
     Member,
     capacity,
     engines_of,
-    followers,
+    pick_followers,
+    pick_placing_routers,
     pick_routers,
-    placing,
     routers_for,
 )
 
@@ -44,9 +44,9 @@
 
 def test_two_routers_follow_the_table_service_and_the_next_takes_over():
     routers = pick_routers(boxes(85))
-    assert followers(routers) == list(routers[:2])
-    assert followers(routers[1:]) == list(routers[1:3])
-    assert followers(routers[:1]) == [routers[0]]
+    assert pick_followers(routers) == list(routers[:2])
+    assert pick_followers(routers[1:]) == list(routers[1:3])
+    assert pick_followers(routers[:1]) == [routers[0]]
 
 
 def test_large_halls_have_several_routers_and_one_hall_has_two():
@@ -89,9 +89,11 @@
 def test_where_engines_are_few_only_some_routers_place_and_the_next_takes_over():
     routers = pick_routers(boxes(30))
     assert len(routers) == 3
-    assert placing(routers, 5) == [routers[0]] and placing(routers[1:], 5) == [routers[1]]
-    assert placing(routers, 2 * ENGINES_PER_ROUTER) == list(routers[:2])
-    assert placing(routers, 56) == list(routers) and placing([], 5) == []
+    assert pick_placing_routers(routers, 5) == [routers[0]] and pick_placing_routers(routers[1:], 5) == [
+        routers[1]
+    ]
+    assert pick_placing_routers(routers, 2 * MIN_ENGINES_PER_ROUTER) == list(routers[:2])
+    assert pick_placing_routers(routers, 56) == list(routers) and pick_placing_routers([], 5) == []
 
 
 def test_the_engines_of_a_router_that_is_gone_are_shared_out():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,7 @@
 from stairquay.core.load import EndpointLoad, LoadReport
 from stairquay.core.membership import Membership
 from stairquay.core.models import Box, BoxKind, BoxList, BoxState, EngineCosts, Workspace
-from stairquay.core.ownership import ranked
+from stairquay.core.ownership import rank_owners
 from stairquay.core.residency import EngineMemories, KeptIndex, Segment
 from stairquay.core.retry import RetryBudget
 from stairquay.core.routing import Candidate, Demand, choose, least_loaded
@@ -33,11 +33,11 @@
 
 def test_families_spread_over_the_nodes_and_a_lost_node_moves_only_its_own():
     nodes = routers(NODES)
-    owners = [ranked(family(number), nodes)[0] for number in range(6_600)]
+    owners = [rank_owners(family(number), nodes)[0] for number in range(6_600)]
     most = max(Counter(owners).values())
     assert most < 2.5 * len(owners) / NODES
     rest = nodes[1:]
-    moved = [before for number, before in enumerate(owners) if ranked(family(number), rest)[0] != before]
+    moved = [before for number, before in enumerate(owners) if rank_owners(family(number), rest)[0] != before]
     assert set(moved) == {nodes[0]}
 
 
@@ -47,9 +47,9 @@
     rest = [node for node in nodes if node not in gone]
     heirs = Counter()
     for number in range(4_000):
-        order = ranked(family(number), nodes)
+        order = rank_owners(family(number), nodes)
         if order[0] in gone:
-            heirs[ranked(family(number), rest)[0]] += 1
+            heirs[rank_owners(family(number), rest)[0]] += 1
     assert sum(heirs.values()) > 350 and max(heirs.values()) < 12
 
 
--- a/tests/test_serving_core.py
+++ b/tests/test_serving_core.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.budget import Allowance, WindowBudget
+from stairquay.core.budget import RetryAllowance, WindowedRetryBudget
 from stairquay.core.call import Part
 from stairquay.core.catalog import Catalog, Route, Split, WorkspacePolicy, engine_priority, pick_service
 from stairquay.core.fleet import MISSING_GRACE_S, Endpoint, Fleet
@@ -90,8 +90,8 @@
     st.lists(st.tuples(st.floats(0, 0.4), st.booleans(), st.integers(0, 8)), max_size=400),
 )
 def test_all_boxes_together_never_exceed_the_allowance_in_any_window(boxes, steps):
-    allowance = Allowance(ratio=0.2, slack=50, window_s=10.0)
-    budgets = [WindowBudget(allowance) for _ in range(boxes)]
+    allowance = RetryAllowance(ratio=0.2, slack=50, window_s=10.0)
+    budgets = [WindowedRetryBudget(allowance) for _ in range(boxes)]
     now, requests, repeats = 0.0, [], []
     for pause, repeat, chosen in steps:
         now += pause
@@ -124,8 +124,8 @@
 )
 def test_boxes_killed_and_started_anew_at_any_time_never_exceed_the_allowance(boxes, unread_s, steps):
     """Each box counts itself alone until it has read, `unread_s` after its start, how many there are."""
-    allowance = Allowance(ratio=0.2, slack=10, window_s=10.0)
-    budgets = [WindowBudget(allowance) for _ in range(boxes)]
+    allowance = RetryAllowance(ratio=0.2, slack=10, window_s=10.0)
+    budgets = [WindowedRetryBudget(allowance) for _ in range(boxes)]
     started = [0.0] * boxes
     now, requests, repeats = 0.0, [], []
     for pause, step, chosen in steps:
@@ -133,7 +133,7 @@
         box = chosen % boxes
         known_s = now - started[box] - unread_s
         if step == "kill":
-            budgets[box], started[box] = WindowBudget(allowance), now
+            budgets[box], started[box] = WindowedRetryBudget(allowance), now
         elif step == "request":
             budgets[box].on_request(now)
             requests.append(now)
@@ -147,12 +147,12 @@
     state = box_state()
     state.boxes = ("b-1",)
     assert not state.take_repeat("s")
-    state.boxes, state.boxes_known_at = ("b-1", "b-2"), monotonic() - Allowance().window_s - 1.0
+    state.boxes, state.boxes_known_at = ("b-1", "b-2"), monotonic() - RetryAllowance().window_s - 1.0
     taken = [state.take_repeat("s") for _ in range(10)]
     assert taken == [True] * 3 + [False] * 7  # 0.7 of 10, for two boxes
 
 
-def take(budget: WindowBudget, now: float, boxes: int, known_s: float) -> bool:
+def take(budget: WindowedRetryBudget, now: float, boxes: int, known_s: float) -> bool:
     """Take a repeat at a box that has known of the others for `known_s`; below 0, it does not yet."""
     return budget.take(now, boxes if known_s >= 0 else 1, max(0.0, known_s))
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stairquay.core.versions import MAX_SIGHTS, VersionHistory
+from stairquay.core.versions import MAX_RECORDS, VersionHistory
 from stairquay.serving.boxes import PREFIX
 from tests.site import box_rows, eventually, name_version, site
 
@@ -32,7 +32,7 @@
     history = VersionHistory()
     for version, at in ((1, 0.0), (2, 10.0), (3, 20.0)):
         history.record(version, at)
-    history.fall_back(2, 30.0)
+    history.roll_back(2, 30.0)
     assert (history.replaced_at(1), history.replaced_at(2)) == (10.0, None)
 
 
@@ -43,7 +43,7 @@
         history.record(*item)
     true = min((at for newer, at in seen if newer > version), default=None)
     believed = history.replaced_at(version)
-    assert len(history.sights) <= MAX_SIGHTS
+    assert len(history.records) <= MAX_RECORDS
     assert (believed is None) if true is None else (believed is not None and believed <= true)
 
 
