--- a/stairquay/core/attempt.py
+++ b/stairquay/core/attempt.py
@@ -1,7 +1,6 @@
 """One attempt to run a request at an endpoint, as a state machine.
 
-The machine decides what may be said about the request. "Not run" is allowed only where no byte
-can have left, or where the endpoint itself said that it did nothing.
+"Not run" is reported only if no byte can have been sent, or if the endpoint said that it did nothing.
 """
 
 from enum import Enum
@@ -13,7 +12,7 @@
 
 
 class AttemptState(Enum):
-    """Where an attempt stands."""
+    """State of an attempt."""
 
     PLANNED = "planned"
     SENT = "sent"
@@ -46,8 +45,7 @@
 
 
 class Attempt:
-    """State of one attempt. All attempts share one machine, which keeps none of them: binding each to it and
-    taking it off again takes as long as all its transitions."""
+    """State of one attempt. All attempts share one state machine unbound, since binding is slow."""
 
     def __init__(self, run_id: str, endpoint: str) -> None:
         self.run_id = run_id
@@ -55,28 +53,28 @@
         self.state = AttemptState.PLANNED
 
     def send(self) -> bool:
-        """Go on before the first byte may leave."""
+        """Record that the first byte may be sent from now on."""
         return self._trigger("send")
 
     def refuse(self) -> bool:
-        """Go on the endpoint's word that it did not run the request."""
+        """Record that the endpoint reported that it did not run the request."""
         return self._trigger("refuse")
 
     def answer(self) -> bool:
-        """Go on once the head of the endpoint's answer was read."""
+        """Record that the head of the answer was received."""
         return self._trigger("answer")
 
     def finish(self) -> bool:
-        """Go on once the whole answer was passed on."""
+        """Record that the whole answer was passed on."""
         return self._trigger("finish")
 
     def lose(self) -> bool:
-        """Go on where no answer, or none that counts, can come any more."""
+        """Record that no usable answer can arrive any more."""
         return self._trigger("lose")
 
     @property
     def ran(self) -> Ran:
-        """Return what may truthfully be said now."""
+        """Return whether the request ran, as far as is known."""
         return RAN_BY_STATE[self.state]
 
     def _trigger(self, name: str) -> bool:
@@ -84,6 +82,6 @@
 
 
 def combine_ran(first: Ran, second: Ran) -> Ran:
-    """Return what holds for a request after two of its attempts."""
+    """Return whether a request ran, after two of its attempts."""
     order = [Ran.NOT_RUN, Ran.UNKNOWN, Ran.RAN]
     return max(first, second, key=order.index)
--- a/stairquay/core/backoff.py
+++ b/stairquay/core/backoff.py
@@ -1,5 +1,4 @@
-"""Rest that endpoints ask for when they turn a request away: seconds for which they want nothing from the box
-that they answered."""
+"""Backoff that endpoints ask for with Retry-After when they turn a request away."""
 
 from dataclasses import dataclass
 from datetime import UTC, datetime
@@ -8,27 +7,26 @@
 from stairquay.core.limits import parse_decimal
 
 MAX_BACKOFF_S = 3_600.0
-"""Seconds after which an endpoint is tried again that asked for a longer rest."""
+"""Maximum backoff in seconds; longer ones are cut to it."""
 
 PROBE_INTERVAL_S = 0.5
-"""Seconds between two requests to an endpoint whose rest is over, until one of them is answered."""
+"""Seconds between requests to an endpoint after its backoff, until one of them is answered."""
 
 
 @dataclass(frozen=True)
 class Backoff:
-    """A rest that an endpoint asked for, in monotonic seconds.
+    """A backoff that an endpoint asked for; times are monotonic seconds.
 
-    tried_at: when a request was last sent there since the rest was asked for, None where none was.
+    probed_at: when a request was last sent there since, or None.
     """
 
     until: float
     probed_at: float | None = None
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until the endpoint may get a request, 0 where it may now.
+        """Return the seconds until the endpoint may get a request, or 0.
 
-        After the rest one request goes, and the others wait for its answer: all at once would be what the
-        endpoint asked for rest from.
+        After the backoff a single request probes the endpoint; the others wait for its answer.
         """
         if now < self.until:
             return self.until - now
@@ -38,10 +36,10 @@
 
 
 def parse_retry_after(text: str, now: datetime) -> float | None:
-    """Return the seconds of rest that an answer asks for, None where the text says nothing of the kind.
+    """Return the backoff in seconds of a Retry-After value, or None if it is malformed.
 
-    It is a decimal number of seconds, or a date as HTTP writes it: then it lasts from `now`, by the clock of
-    who wrote it, until that date. A date that is over asks for nothing.
+    The value is a decimal number of seconds, or an HTTP date, which is compared with `now`, the server's
+    time.
     """
     seconds = parse_decimal(text)
     if seconds is None:
@@ -53,7 +51,7 @@
 
 
 def parse_date(text: str, default: datetime) -> datetime:
-    """Return the time that an answer gives for itself, another one where it gives none."""
+    """Return the time in a Date header, or the default if it is missing or malformed."""
     return _parse_http_date(text) or default
 
 
--- a/stairquay/core/budget.py
+++ b/stairquay/core/budget.py
@@ -1,20 +1,20 @@
-"""A budget for sending requests again, shared by all boxes without asking each other."""
+"""A retry budget that all boxes share without coordination."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
 RATIO_SHARE = 0.8
 SLACK_SHARE = 0.7
-"""Shares of the allowance that are used, so that rounding and boxes not yet known do not exceed it."""
+"""Shares of the allowance to use; the margin covers rounding and boxes not known yet."""
 
 FIRST_WINDOW_SLACK_SHARE = 0.4
-"""Share of its slack to which a box comes within its first window. A box that was killed may have spent its
-whole slack right before, so that both together spend up to 1.4 of it: 0.7 * 1.4 is still below 1."""
+"""Share of its slack that a box reaches during its first window. Its previous process may have spent the
+whole slack just before, and 0.7 * 1.4 is still below 1."""
 
 
 @dataclass(frozen=True)
 class RetryAllowance:
-    """Repeats allowed in any window: `ratio` of the requests, and `slack` over all boxes."""
+    """Retries allowed in any window: `ratio` of the requests, plus `slack` over all boxes."""
 
     ratio: float = 0.1
     slack: float = 10.0
@@ -23,18 +23,11 @@
 
 @dataclass
 class WindowedRetryBudget:
-    """Counts one service's requests and repeats at this box in a sliding window (monotonic seconds).
+    """Counts one service's requests and retries at this box in a sliding window (monotonic seconds).
 
-    What it counted ends with the process, and what a process before it spent is not known. That is why slack
-    grows from none over the first window, and is whole only after it. However often and at whatever times
-    boxes are killed, in any window at most one process of a box had its whole slack, and the growing parts of
-    all others last no longer than the window together.
-
-    Not held: boxes that believe there are fewer of them than there are take too much. That is so for the
-    second or so in which boxes that start together have not written their rows, which is little since slack
-    has hardly grown by then; for as long as one reads the rows and others cannot write theirs; and where a
-    box that is gone is forgotten, and comes back, within one window. Requests that a killed process counted
-    allow nothing any more.
+    What a previous process of the box spent is unknown, so slack grows from zero during the first window.
+    The budget may be exceeded where boxes underestimate their number: briefly while they start together,
+    while some cannot write their rows, and when a forgotten box returns within one window.
     """
 
     allowance: RetryAllowance
@@ -42,14 +35,14 @@
     retries: deque[float] = field(default_factory=deque)
 
     def on_request(self, now: float) -> None:
-        """Count a request that came in."""
+        """Count an incoming request."""
         self.requests.append(now)
         self._expire(now)
 
     def take(self, now: float, boxes: int, known_s: float) -> bool:
-        """Spend one repeat if this box's share of the allowance permits it.
+        """Spend one retry if this box's share of the allowance permits it.
 
-        known_s: for how long this process has known how many boxes share the allowance, 0 where it does not.
+        known_s: seconds since this process learned the number of boxes, or 0 if it has not.
         """
         self._expire(now)
         box_slack = self.allowance.slack * SLACK_SHARE / max(1, boxes) * self._usable_slack_share(known_s)
@@ -64,7 +57,7 @@
         window_s = self.allowance.window_s
         if known_s <= 0:
             return 0.0
-        # A window counts its both ends: a repeat right at the start may have been of the process before.
+        # A window includes both ends, so a retry at its start may be the previous process's.
         return 1.0 if known_s > window_s else FIRST_WINDOW_SLACK_SHARE * known_s / window_s
 
     def _expire(self, now: float) -> None:
--- a/stairquay/core/call.py
+++ b/stairquay/core/call.py
@@ -1,15 +1,16 @@
-"""A caller's request as routing sees it, whatever dialect the caller speaks."""
+"""Requests of callers, independent of the protocol they arrive by."""
 
 import hashlib
 from dataclasses import dataclass, field
 
 DIGEST_BYTES = 12
-"""Bytes of a request's digest: two of a million requests get the same one with a chance below 1e-16."""
+"""Length of a request digest in bytes; makes collisions among a million requests negligible."""
 
 
 @dataclass(frozen=True)
 class Part:
-    """One part of a prompt. Equal ids hold equal tokens; a part counts only after all before it."""
+    """One part of a prompt. Equal ids stand for equal tokens, provided that all parts before it are equal
+    too."""
 
     id: str
     tokens: int
@@ -17,9 +18,9 @@
 
 @dataclass(frozen=True)
 class PromptShape:
-    """A prompt as a chain of parts. `tokens` counts the whole prompt, `max_output` bounds the answer.
+    """A prompt as a chain of parts. `tokens` is its whole length, `max_output` bounds the answer's.
 
-    The last part is the request's own; the others may be shared with other requests.
+    The last part belongs to this request only; the others may be shared with other requests.
     """
 
     model: str
@@ -29,16 +30,16 @@
 
     @property
     def shared(self) -> tuple[Part, ...]:
-        """Return the parts that other requests may have in common with this one."""
+        """Return the parts that other requests may share."""
         return self.parts[:-1]
 
 
 @dataclass(frozen=True)
 class Call:
-    """One request of a caller. `key` is a secret; `time_left_s` is how long the caller waits.
+    """One request of a caller.
 
-    `headers` are the caller's own that go on to the endpoint. `resume_after` is the last event that the
-    caller has of an earlier answer.
+    headers: the caller's headers to pass on to the endpoint. key: the API key, a secret. time_left_s: how
+    long the caller waits. resume_after: the last event that the caller received of an earlier answer.
     """
 
     id: str
@@ -55,12 +56,11 @@
 
 @dataclass(frozen=True)
 class Dispatch:
-    """What goes with a request to the endpoint that was chosen for it.
+    """Parameters sent to the chosen endpoint along with a request.
 
-    endpoint: the id that must answer. time_left_s: how long it may work. context_scope: the name under
-    which it keeps and finds context. version: the weights it must run. fetch_from and save_to name an
-    address for each part of the prompt, empty where there is none. fetch_until_ms: when a fetch is
-    thrown away, on the endpoints' clock.
+    endpoint: the id that must answer. time_left_s: time limit for the work. context_scope: scope of kept
+    context. version: the weights to run. fetch_from, save_to: an address for each part of the prompt, or
+    empty. fetch_until_ms: deadline of fetches, by the endpoints' clock.
     """
 
     endpoint: str
@@ -77,10 +77,9 @@
 
 
 def request_digest(call: Call, body: bytes) -> str:
-    """Return the name by which a request is known again: that of its method, host, path, caller and body.
+    """Return a digest of a request's method, host, target, caller and body, equal for repeats of the request.
 
-    The id differs each time that a caller sends a request again. Headers are left out, since clients change
-    them from one time to the next.
+    The id and the headers are left out, since clients change them on every retry.
     """
     hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in (call.method, call.host, call.target, call.key or ""):
--- a/stairquay/core/catalog.py
+++ b/stairquay/core/catalog.py
@@ -1,4 +1,4 @@
-"""What operators configured, as one immutable catalog: routes, workspaces, services and store boxes."""
+"""The operators' configuration as an immutable catalog of routes, workspaces, services and store boxes."""
 
 from dataclasses import dataclass, field
 from functools import cached_property
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class Split:
-    """A share of a route's requests that goes to one service."""
+    """The weight of a service among those that serve a route."""
 
     service: str
     weight: float
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True)
 class Route:
-    """How requests for one host and path prefix are served; times are seconds.
+    """How requests for one host and path prefix are served.
 
-    repeatable: the request may run more than once. streamed: the answer is a stream of events.
-    resumable: a broken stream may go on at another endpoint. objective_s: time to the first byte that
-    earns full value. gap_s: longest pause between events that is in time. priority: 0 is most urgent.
+    repeatable: the request may run more than once. streamed: the answer is an event stream. resumable: a
+    broken stream may continue at another endpoint. timeout_s: time limit of a request. objective_s: target
+    time to the first byte. gap_s: target for the longest pause between events. priority: 0 is the highest.
     """
 
     id: str
@@ -39,13 +39,13 @@
 
     @property
     def retryable(self) -> bool:
-        """Tell whether a request whose first run is in doubt may be sent once more."""
+        """Tell whether a request may be sent again when it is unknown whether it ran."""
         return self.repeatable or self.resumable
 
 
 @dataclass(frozen=True)
 class WorkspacePolicy:
-    """A workspace as routing sees it. `isolated`: it shares no kept context with any other."""
+    """How a workspace's requests are treated. isolated: it shares no cached context with other workspaces."""
 
     id: str
     isolated: bool = False
@@ -54,7 +54,11 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """What the engines of a service have; `link_bytes_s` is the link that moves kept context."""
+    """The engines of a service.
+
+    slots: requests run concurrently. link_bytes_s: bandwidth of the link over which cached context is moved.
+    max_followers: clients that may follow an engine's events.
+    """
 
     slots: int
     memory_tokens: int
@@ -66,8 +70,8 @@
 
 @dataclass(frozen=True)
 class ServiceSpec:
-    """A service that requests are sent to. `engine` is None for plain services, `cold` where its endpoints
-    bear as much as ever from their start on."""
+    """A service that requests are sent to. engine: None for plain services. cold: None where its endpoints
+    take full load right after a start."""
 
     id: str
     max_connections: int = 100
@@ -77,7 +81,11 @@
 
 @dataclass(frozen=True)
 class StoreSpec:
-    """A store box. `managed`: it frees nothing by itself, so that we free what is not needed."""
+    """A store box. managed: it evicts nothing by itself, so that unused parts must be freed.
+
+    link_bytes_s: bandwidth. first_byte_s: time to the first byte of a fetch. max_followers: clients that
+    may follow its events.
+    """
 
     id: str
     address: str
@@ -91,15 +99,18 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """Bounds on what a caller may send."""
+    """Limits on callers' requests."""
 
     max_body_bytes: int = 4_194_304
 
 
 @dataclass(frozen=True)
 class Catalog:
-    """One version of the configuration, complete. homed: routes and workspaces that are to be served in some
-    regions only, which boxes do not do."""
+    """One complete version of the configuration.
+
+    keys_required: requests need an API key. region_restricted: names of routes and workspaces restricted
+    to some regions, which is not enforced.
+    """
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -121,12 +132,12 @@
         }
 
     def engine_of(self, service: str) -> EngineSpec | None:
-        """Return the shape of a service's engines, None for plain services and unknown ones."""
+        """Return the spec of a service's engines, or None for plain and unknown services."""
         shape = self.services_by_id.get(service)
         return None if shape is None else shape.engine
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the route of a host whose prefix begins the path and is longest."""
+        """Return the route of a host with the longest prefix that matches the path."""
         for route in self._routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -141,25 +152,25 @@
         return lowest
 
     def is_lowest_priority(self, route: Route, service: str) -> bool:
-        """Tell whether no route of a service is less urgent than this one."""
+        """Tell whether no route of the service has a lower priority than this one."""
         return route.priority >= self._lowest_priority_by_service.get(service, 0)
 
     def needs_key(self, route: Route) -> bool:
-        """Tell whether requests on a route must carry a workspace's key."""
+        """Tell whether requests on a route must carry an API key."""
         return self.keys_required and not route.public
 
 
 ROUTE_PRIORITIES = 3
-"""Ranks of routes that are told apart within one rank of workspaces: engines know ten in all."""
+"""Number of route priorities distinguished within one workspace priority."""
 
 LOWEST_PRIORITY = 9
-"""The last of the ten ranks."""
+"""The lowest of the ten priorities that engines know."""
 
 
 def engine_priority(route: Route, workspace: WorkspacePolicy | None) -> int:
-    """Return the rank of a request at engines, 0 for the most urgent.
+    """Return the priority of a request at engines, 0 for the highest.
 
-    A workspace's rank goes before its routes'; routes of equally ranked workspaces keep their order.
+    Workspace priority takes precedence over route priority.
     """
     if workspace is None or workspace.priority is None:
         return min(LOWEST_PRIORITY, route.priority)
@@ -169,7 +180,7 @@
 
 
 def pick_service(route: Route, draw: float) -> str:
-    """Return the service for a draw in [0, 1), by the route's weights."""
+    """Return the service for a random number in [0, 1), by the route's weights."""
     total = sum(split.weight for split in route.splits)
     remaining = draw * total
     for split in route.splits:
--- a/stairquay/core/cold.py
+++ b/stairquay/core/cold.py
@@ -1,12 +1,12 @@
-"""What endpoints bear for some time after a start."""
+"""The reduced load that endpoints take after a start."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class ColdLimit:
-    """What the endpoints of a service bear while they are cold, in requests a second over all callers, and
-    for how many seconds they are cold after a start."""
+    """Rate limit of cold endpoints: requests per second over all callers, and the seconds after a start for
+    which it applies."""
 
     per_s: float
     after_start_s: float = 0.0
--- a/stairquay/core/crashes.py
+++ b/stairquay/core/crashes.py
@@ -1,36 +1,34 @@
-"""Which requests crash endpoints: what is known of crashes, and the verdict on it."""
+"""Finds the requests that crash endpoints, from the crashes of all boxes."""
 
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 
 MIN_CRASHES = 3
-"""Endpoints that must have crashed under a request before it is quarantined. Requests that run beside one
-that crashes endpoints lose two in a row easily: they are sent again at once, and so is the other one."""
+"""Crashed endpoints required to quarantine a request. With two, a request that is retried beside the one that
+crashes endpoints would often be quarantined as well."""
 
 MIN_UNEXPLAINED_CRASHES = 2
-"""Of these, those that no other quarantined request explains. Two requests that crash endpoints are often at
-the same one when it crashes; who only ran beside them was at few crashes without either."""
+"""Of these, the crashes that no other quarantined request explains."""
 
 UNSTARTED_WEIGHT = 0.5
-"""What a crash counts against a request that its engine had not begun to answer while it answered others:
-engines send the head of an answer when they begin, so that it mostly waited."""
+"""Weight of a crash for a request that the engine had not begun to answer while it answered others: it was
+probably queued."""
 
 SAME_POINT_EVENTS = 16
-"""Events by which the same request may come further on one endpoint than on another before it crashes it.
-Time says less: a box that stood still, or was cut off, hears of a crash seconds late."""
+"""Tolerance in events within which crashes count as being at the same point of an answer. Time is not
+compared, since a paused or disconnected box notices crashes seconds late."""
 
 CRASH_TTL_S = 600.0
-"""Seconds for which a crash counts. A request that crashes endpoints at least this often stays quarantined;
-one that was mended meanwhile gets its next chance after so long."""
+"""Seconds for which a crash counts, and so the time until a quarantined request is tried again."""
 
 
 @dataclass(frozen=True)
 class Crash:
     """An endpoint crashed while a request was there.
 
-    digest: names the request, as `request_digest` gives it. life: names the life of the endpoint that ended.
-    at: when that was noticed, in monotonic seconds. ran_s: seconds from sending the request to that. events:
-    how many of its answer had come by then, None where an engine had not begun to answer.
+    digest: the request's, as of `request_digest`. incarnation: names the endpoint process that crashed.
+    at: monotonic seconds when the crash was noticed. ran_s: seconds from sending the request until then.
+    events: events of the answer received by then, or None if an engine had not begun to answer.
     """
 
     digest: str
@@ -42,8 +40,8 @@
 
 @dataclass(frozen=True)
 class QuarantinedRequest:
-    """A request that nothing is sent of until a time (monotonic seconds), and the crashes that speak for
-    it."""
+    """A request that must not be sent until a time in monotonic seconds, and the crashes that are evidence
+    for it."""
 
     digest: str
     until: float
@@ -51,17 +49,16 @@
 
 
 CrashesByIncarnation = dict[str, Crash]
-"""Crashes under one request, by the life of the endpoint that ended."""
+"""The crashes of one request, by the incarnation of the endpoint."""
 
 
 def find_quarantined(crashes: Iterable[Crash], now: float) -> dict[str, QuarantinedRequest]:
-    """Return by digest the requests under which at least LEAST_CRASHES endpoints crashed, without those that
+    """Return by digest the requests under which at least MIN_CRASHES endpoints crashed, excluding those that
     only ran beside one of them.
 
-    Each crash has one cause, but many requests that ran beside it. So the request with most crashes that
-    nothing explains yet is taken first, and it explains all of its own. Others must have LEAST_UNEXPLAINED
-    besides. Between equals the one that had run the shortest on average is taken: others had mostly begun
-    before it. What was taken wrongly is cleared again by the next crash of the right one.
+    Each crash has one cause but many concurrent requests. The request with the most unexplained crashes is
+    taken first and explains all of them, until fewer than MIN_UNEXPLAINED_CRASHES remain. Ties go to the
+    request with the shortest mean run, since the others had mostly started before it.
     """
     known = _by_digest(crashes, now)
     started = {
@@ -102,8 +99,8 @@
 
 
 def _by_digest(crashes: Iterable[Crash], now: float) -> dict[str, CrashesByIncarnation]:
-    """Return the crashes that are young enough to count. Of two that tell of one life, that counts which saw
-    the request come further."""
+    """Return the crashes that have not expired. If several report one incarnation, the one with the most
+    events counts."""
     found: dict[str, CrashesByIncarnation] = {}
     for crash in crashes:
         if now - crash.at < CRASH_TTL_S:
@@ -115,9 +112,8 @@
 
 
 def _at_same_point(by_incarnation: CrashesByIncarnation) -> CrashesByIncarnation:
-    """Return the crashes that came as late in the answer as the latest one: what crashes endpoints does so at
-    one point, and a request that went on beyond that point somewhere is not why the endpoints before
-    crashed."""
+    """Return the crashes at the same point of the answer as the latest one: a request that got further
+    elsewhere did not cause the earlier crashes."""
     furthest = max(_events(crash) for crash in by_incarnation.values())
     return {
         incarnation: crash
--- a/stairquay/core/fleet.py
+++ b/stairquay/core/fleet.py
@@ -1,30 +1,27 @@
-"""Endpoints that the platform lists, and which of them may get new work.
+"""Endpoints listed by the platform, and which of them may get new work.
 
-Whoever is leaving stays so, whether its entry or its answers said it, and also where the entry lapses and
-returns. An endpoint that starts again under its id is told from the one before by the time of its birth:
-nothing that held for the old one holds for it.
+An incarnation that leaves stays marked as leaving, whether its entry or its answers said so, even if its
+entry lapses and returns. A restarted endpoint is a new incarnation, identified by its start time.
 
-An endpoint that vanished from the list without a word may be one whose entry lapsed during an outage of the
-table service: it is a last resort for a short while, which counts from when it can have vanished, not from
-when that was noticed.
+An endpoint that vanished from the list without notice may have lost its entry in an outage of the table
+service, so it is still used for a short time if no other endpoint is left.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
 MISSING_GRACE_S = 1.6
-"""Seconds for which a vanished endpoint is a last resort: entries that lapsed in an outage are back two
-seconds after it, and new work must stop two seconds after an endpoint left."""
+"""Seconds for which a missing endpoint may still be used. Must stay below two seconds, by which new work to
+an endpoint that is gone must stop."""
 
 LEAVING_TTL_S = 600.0
-"""Seconds for which an endpoint that left is remembered after its entry went: longer than any is away and
-serves on."""
+"""Seconds for which a leaving mark is kept after the entry was removed."""
 
 
 @dataclass(frozen=True)
 class LeavingIncarnation:
-    """A life of an endpoint that leaves. born: as for Endpoint. at: monotonic seconds at which that was heard
-    of, or its entry went since."""
+    """An incarnation of an endpoint that is leaving. born: as for Endpoint. at: monotonic seconds when that
+    became known, or when its entry was removed since."""
 
     born: int
     at: float
@@ -32,11 +29,12 @@
 
 @dataclass(frozen=True)
 class Endpoint:
-    """One endpoint in the list. `versions_by_model` is what it says of its weights.
+    """One endpoint in the list.
 
-    born: Unix milliseconds of its start, 0 where it does not say so. sequence: counts what it wrote in this
-    life. cold: it said that it bears little work yet, for `cold_s` more seconds. What changes with each of
-    its heartbeats does not make it another entry: else each would be passed on to all boxes.
+    born: Unix milliseconds of its start, which identify the incarnation; 0 if unknown. sequence: counts
+    the entries written by this incarnation. cold, cold_s: it takes reduced load, for this many more
+    seconds. Fields that change with every heartbeat are not compared, so that heartbeats alone are not
+    broadcast.
     """
 
     id: str
@@ -52,8 +50,7 @@
     cold_s: float = field(default=0.0, compare=False)
 
     def is_older(self, other: "Endpoint") -> bool:
-        """Tell whether this entry was written before another one with the same id: in an earlier life, or
-        earlier in the same one."""
+        """Tell whether this entry was written before another one with the same id."""
         if not self.born or not other.born:
             return False
         return (self.born, self.sequence) < (other.born, other.sequence)
@@ -61,14 +58,15 @@
 
 @dataclass
 class Fleet:
-    """All endpoints known, by id, since when the list misses some (monotonic seconds), and which leave."""
+    """All known endpoints by id, since when some are missing from the list (monotonic seconds), and those
+    that are leaving."""
 
     by_id: dict[str, Endpoint] = field(default_factory=dict)
     missing_since_by_id: dict[str, float] = field(default_factory=dict)
     leaving_by_id: dict[str, LeavingIncarnation] = field(default_factory=dict)
 
     def mark_leaving(self, endpoint_id: str, born: int, now: float) -> bool:
-        """Take in that a life of an endpoint leaves, whoever said so; tell whether that is news."""
+        """Mark an incarnation of an endpoint as leaving; tell whether that is news."""
         known = self.leaving_by_id.get(endpoint_id)
         if known is not None and born <= known.born:
             return False
@@ -79,14 +77,15 @@
         return True
 
     def is_leaving(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint leaves, whatever its entry says."""
+        """Tell whether an endpoint is leaving, by its entry or by a mark."""
         mark = self.leaving_by_id.get(endpoint.id)
         return endpoint.leaving or (mark is not None and endpoint.born <= mark.born)
 
     def apply(
         self, present: Iterable[Endpoint], gone: Iterable[str], now: float, gone_since: float | None = None
     ) -> None:
-        """Take in changed entries, and removed ones: since `gone_since` at the earliest, or now."""
+        """Apply changed entries and removed ones. gone_since: the earliest time at which they can have been
+        removed; defaults to now."""
         for endpoint in present:
             known = self.by_id.get(endpoint.id)
             if known is not None and endpoint.is_older(known):
@@ -104,13 +103,13 @@
     def apply_snapshot(
         self, present: Iterable[Endpoint], now: float, gone_since: float | None = None
     ) -> None:
-        """Take in the whole list; what it lacks is gone, with `gone_since` as for changed entries."""
+        """Apply the whole list; endpoints that it lacks are removed."""
         listed = tuple(present)
         ids = {endpoint.id for endpoint in listed}
         self.apply(listed, [key for key in self.by_id if key not in ids], now, gone_since)
 
     def usable(self, service: str, now: float) -> list[Endpoint]:
-        """Return the endpoints of a service that may get new work; vanished ones only where no other is."""
+        """Return the endpoints of a service that may get new work; missing ones only if no others exist."""
         staying = [item for item in self.by_id.values() if item.service == service and not item.leaving]
         listed = [item for item in staying if item.id not in self.missing_since_by_id]
         if listed:
@@ -118,7 +117,7 @@
         return [item for item in staying if now - self.missing_since_by_id[item.id] < MISSING_GRACE_S]
 
     def live(self) -> list[Endpoint]:
-        """Return all endpoints that the list has, leaving ones included."""
+        """Return all listed endpoints, including leaving ones."""
         return [item for item in self.by_id.values() if item.id not in self.missing_since_by_id]
 
     def _remove(self, endpoint_id: str, since: float, now: float) -> None:
--- a/stairquay/core/holdings.py
+++ b/stairquay/core/holdings.py
@@ -1,23 +1,22 @@
-"""Which engines and store boxes hold which parts of prompts, as told by their events.
+"""Tracks which engines and store boxes hold which parts of prompts, from their events.
 
-What is believed of an engine may be wrong: a miss costs time only. What is believed of a store box must
-be true, because a store box does not check what it hands out: its view counts only while its events are
-followed without a gap.
+A wrong belief about an engine only costs time. A store box does not check what it serves, so its contents
+may be used only while its events are followed without a gap.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 PartKey = tuple[str, str]
-"""The scope under which context is kept, and a part's id."""
+"""Scope of the context, and id of the part."""
 
 MAX_DROPPED = 2_000
-"""Dropped parts of one holder whose last event's number is remembered: some seconds of events."""
+"""Dropped parts of one holder whose last event number is remembered."""
 
 
 @dataclass(frozen=True)
 class PartEvent:
-    """A holder now keeps `tokens` of a part; 0 where it dropped the part."""
+    """A holder now has `tokens` of a part; 0 if it dropped the part."""
 
     number: int
     scope: str
@@ -27,7 +26,11 @@
 
 @dataclass
 class Holding:
-    """What one holder keeps: tokens by key, their total, and the last event's number about each key."""
+    """The contents of one holder: tokens by key, their total, and the number of the last event about each
+    key.
+
+    position: number of the last event received. updated_at: monotonic seconds of the last update.
+    """
 
     incarnation: int = 0
     position: int = 0
@@ -47,7 +50,7 @@
     def replace(
         self, address: str, incarnation: int, position: int, parts: Iterable[tuple[PartKey, int]], now: float
     ) -> None:
-        """Take in a whole list of what a holder keeps."""
+        """Replace what is known of a holder by a complete list."""
         self.forget(address)
         holding = Holding(incarnation, position, now)
         self.by_address[address] = holding
@@ -55,7 +58,7 @@
             self._set(address, holding, key, tokens, position)
 
     def apply(self, address: str, events: Iterable[PartEvent], position: int, now: float) -> None:
-        """Take in a holder's events; one that is older than what is known of its part changes nothing."""
+        """Apply a holder's events; an event older than the last one about its part is ignored."""
         holding = self.by_address.setdefault(address, Holding())
         holding.position = position
         holding.updated_at = now
@@ -65,14 +68,14 @@
                 self._set(address, holding, key, event.tokens, event.number)
 
     def expect(self, address: str, scope: str, part: str, tokens: int) -> None:
-        """Believe that a holder is about to keep a part, until its events say more."""
+        """Assume that a holder is about to have a part, until its events say otherwise."""
         holding = self.by_address.setdefault(address, Holding())
         key = (scope, part)
         if holding.tokens_by_key.get(key, 0) < tokens:
             self._set(address, holding, key, tokens, holding.number_by_key.get(key, -1))
 
     def forget(self, address: str) -> None:
-        """Forget all about a holder."""
+        """Forget a holder."""
         holding = self.by_address.pop(address, None)
         if holding is None:
             return
@@ -80,12 +83,12 @@
             self._drop_holder(address, key)
 
     def tokens(self, address: str, scope: str, part: str) -> int:
-        """Return how many tokens of a part a holder is believed to keep."""
+        """Return how many tokens of a part a holder is believed to have."""
         holding = self.by_address.get(address)
         return 0 if holding is None else holding.tokens_by_key.get((scope, part), 0)
 
     def holders(self, scope: str, part: str) -> set[str]:
-        """Return the addresses believed to keep some of a part."""
+        """Return the addresses believed to have some of a part."""
         return self.holders_by_key.get((scope, part), set())
 
     def _set(self, address: str, holding: Holding, key: PartKey, tokens: int, number: int) -> None:
@@ -95,7 +98,7 @@
             holding.tokens_by_key[key] = tokens
             self.holders_by_key.setdefault(key, set()).add(address)
             return
-        # The number of a dropped part is kept: an older event about it may still arrive.
+        # The number of a dropped part is kept, since an older event about it may still arrive.
         if holding.tokens_by_key.pop(key, None) is not None:
             self._drop_holder(address, key)
         if len(holding.number_by_key) > len(holding.tokens_by_key) + MAX_DROPPED:
--- a/stairquay/core/limits.py
+++ b/stairquay/core/limits.py
@@ -1,8 +1,8 @@
-"""Rate limits that endpoints name in their answers, and which of two statements about one is the newer one.
+"""Rate limits that endpoints report in their answers.
 
-An endpoint that is short of room names in its answers how many requests a second it takes from all callers
-together, for as long as it does so. Answers come to many boxes and late, and boxes tell each other what they
-heard: an older answer must not undo what a newer one said.
+A limit is the requests per second that an endpoint takes from all callers together. Answers arrive late
+and out of order, and boxes forward reports to each other, so an older report must not override a newer
+one.
 """
 
 import re
@@ -10,21 +10,21 @@
 from math import inf, isfinite
 
 UNLIMITED = inf
-"""Requests a second of an endpoint that names no limit."""
+"""Requests per second of an endpoint that reports no limit."""
 
 MAX_NUMBER_LENGTH = 32
-"""Longest text that is read as a number."""
+"""Maximum length in characters of a number in a header."""
 
 DECIMAL_PATTERN = re.compile(r"(\d+\.?\d*|\.\d+)(e[+-]?\d{1,3})?", re.ASCII | re.IGNORECASE)
-"""A decimal number without a sign; words such as `nan` are none."""
+"""A decimal number without a sign; excludes words such as `nan`."""
 
 
 @dataclass(frozen=True)
 class LimitReport:
-    """What an answer said of its endpoint's limit, in requests a second from all callers together.
+    """The limit that an answer reported for its endpoint, in requests per second.
 
-    sent_at, heard_at: monotonic seconds between which the answer was begun: when its request was sent, and
-    when its head came.
+    sent_at, heard_at: monotonic seconds when the request was sent and when the head of the answer was
+    received; the report was made between them.
     """
 
     per_s: float
@@ -33,8 +33,7 @@
 
 
 def parse_decimal(text: str) -> float | None:
-    """Return a decimal number that an answer gives, None where the text is none: a limit in requests a
-    second, a rest in seconds."""
+    """Return the decimal number in a header value, or None if it is malformed or out of range."""
     text = text.strip()
     if len(text) > MAX_NUMBER_LENGTH or DECIMAL_PATTERN.fullmatch(text) is None:
         return None
@@ -43,11 +42,11 @@
 
 
 def merge_reports(known: LimitReport | None, received: LimitReport) -> LimitReport:
-    """Return what holds after two statements about one endpoint, whichever of them was heard of first.
+    """Return the report that holds after two reports about one endpoint, in whichever order they were
+    received.
 
-    One is newer than another only if its request was sent after the other's answer had come. Where neither
-    is, the lower limit holds: answers that cross must not end a limit. It keeps its own times: an answer that
-    names none must not make a limit seem to have been heard again.
+    A report is newer only if its request was sent after the other's answer was received. If neither is,
+    the lower limit holds with its own times, so that concurrent answers do not end or prolong a limit.
     """
     if known is None or received.sent_at >= known.heard_at:
         return received
--- a/stairquay/core/placement.py
+++ b/stairquay/core/placement.py
@@ -1,7 +1,7 @@
-"""Where a prompt runs: compare engines by the predicted time to the first token.
+"""Ranks engines for a prompt by the predicted time to the first token.
 
-Context that another engine or a store box keeps is brought over its link, which costs milliseconds where
-reading the same tokens anew costs tens of milliseconds of the engine.
+Context cached by another engine or a store box is fetched over its link if that is faster than reading the
+tokens again.
 """
 
 from collections.abc import Callable, Sequence
@@ -11,51 +11,48 @@
 from stairquay.core.call import Part
 
 PREFILL_TOKENS_PER_S = 112_000.0
-"""Prompt tokens that a quick engine reads in a second. Slower ones make all predictions too short by about
-one factor, which changes no order among engines: with engines of less than half that speed, the right figure
-served better by 0.006 of the payoff owed, with an error of 0.012 over 6 paired runs."""
+"""Prompt tokens that a fast engine reads per second. On slower engines all predictions are too short by about
+one factor, which keeps their order."""
 
 ATTENTION_PAIR_S = 0.154e-9
-"""Seconds for each pair of a new token and a token before it (attention), of the same engine."""
+"""Seconds of attention for each pair of a new token and a token of the prompt."""
 
 FETCH_SETUP_S = 0.002
-"""Fixed time of one fetch besides its bytes: a miss costs a millisecond."""
+"""Fixed seconds of a fetch besides the transfer."""
 
 STEP_DELAY_S = 0.0005
-"""Predicted delay for each run under way: every step takes 0.05 ms longer, and a prompt spans steps."""
+"""Predicted seconds of delay for each running request, which makes every step longer."""
 
 OLD_VERSION_PENALTY_S = 0.12
-"""Seconds that running on replaced weights is worth avoiding: it costs a fifth of a 0.6 s objective."""
+"""Seconds added for an engine that runs replaced weights."""
 
 RUN_DURATION_S = 2.5
-"""Seconds that a long run holds its memory: 64 events of 38 ms, measured at usual load."""
+"""Typical seconds for which a long request holds its memory."""
 
 MEMORY_FILL_PENALTY_S = 0.06
-"""Seconds that a full memory is worth avoiding against an empty one: memory binds before reading does,
-and reports lag, so that it is balanced before it is full. About the time to read a mean prompt."""
+"""Seconds added for full memory, so that memory is balanced before it is exhausted."""
 
 USABLE_MEMORY_SHARE = 0.95
-"""Share of an engine's memory that is planned with: its report is some hundred milliseconds old."""
+"""Share of an engine's memory to plan with; the margin covers reports that are out of date."""
 
 FAILURE_PENALTY_S = 0.5
-"""Seconds lost where an endpoint fails the request: about one objective."""
+"""Seconds lost when an endpoint fails a request."""
 
 NEW_CONNECTION_PENALTY_S = 0.008
-"""Seconds that an engine is worth avoiding to which a box rarely sends: the box has no open connection to it,
-and a new one is priced like a few hundredths of a prompt."""
+"""Seconds added for an engine to which the sender probably has no open connection."""
 
 OTHER_HALL_PENALTY_S = 0.002
-"""Tie-break for an endpoint in another data hall: one round trip."""
+"""Seconds added for an endpoint in another data hall: one round trip."""
 
 
 @dataclass(frozen=True)
 class EngineView:
     """What is known of one engine now.
 
-    waiting_tokens: prompt tokens that wait or are being read. failing: share of recent requests it failed.
-    resident: tokens it keeps of each part of the prompt, in order. familiar: the sender often sends there.
-    used_tokens: memory that running requests hold, of total_tokens; 0 of 0 where that is not known.
-    slots: runs that it makes at once.
+    resident: tokens that it has of each part of the prompt, in order. waiting_tokens: prompt tokens queued
+    or being read. failing: share of recent requests that failed. outdated: it runs replaced weights.
+    preferred: the sender often sends there. used_tokens: memory in use, of total_tokens; both 0 if
+    unknown. slots: requests that it runs concurrently.
     """
 
     id: str
@@ -74,8 +71,8 @@
 
 @dataclass(frozen=True)
 class Source:
-    """Where one part of a prompt can be fetched from. `lasting`: it will still be there when it is fetched,
-    where an engine may drop it before."""
+    """Where one part of a prompt can be fetched from. durable: the source will not evict the part before the
+    fetch, as an engine may."""
 
     address: str
     tokens: int
@@ -86,9 +83,9 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """The engine chosen. fetch_from: an address for each part, empty where nothing is fetched.
+    """The chosen engine. fetch_from: an address for each part, or empty.
 
-    reused, fetched and read are tokens; first_token_s is the predicted time.
+    reused, fetched and read are tokens; first_token_s is the predicted time to the first token.
     """
 
     engine: EngineView
@@ -100,7 +97,7 @@
 
 
 SourceLookup = Callable[[int, str], Source | None]
-"""Returns the best source of the part at an index for an engine's address, or None."""
+"""Returns the best source of a part, by its index, for the engine at an address."""
 
 
 def rank_placements(
@@ -116,17 +113,17 @@
 
 
 def backlog_s(engine: EngineView) -> float:
-    """Return how long any further prompt waits at an engine, whatever its size."""
+    """Return how long the next prompt waits at an engine, whatever its size."""
     return _queue_delay_s(engine) + _memory_wait_s(engine, 0)
 
 
 def prefill_s(read: int, tokens: int) -> float:
-    """Return how long an engine takes to read some of a prompt's tokens."""
+    """Return the seconds that an engine needs to read some of a prompt's tokens."""
     return read / PREFILL_TOKENS_PER_S + read * tokens * ATTENTION_PAIR_S
 
 
 def pick_quickest(placements: Sequence[Placement], random: Random) -> Placement:
-    """Return one of the placements that are as quick as the quickest, which stands first."""
+    """Return a random one of the placements that are as quick as the first."""
     quickest = placements[0].first_token_s
     return random.choice([item for item in placements if item.first_token_s <= quickest])
 
@@ -141,7 +138,7 @@
         source = source_of(index, engine.address)
         if resident >= part.tokens:
             reused += part.tokens
-            # The engine may drop the part before the request begins; then it is fetched after all.
+            # The engine may evict the part before the request starts.
             fetch_from[index] = source.address if source is not None and source.tokens >= part.tokens else ""
             continue
         if source is None or source.tokens <= resident:
@@ -177,7 +174,7 @@
 
 
 def _memory_delay_s(engine: EngineView, tokens: int) -> float:
-    """Return what a prompt's memory costs at an engine: the wait for room, and the use of a scarce good."""
+    """Return the wait for free memory plus the penalty for memory in use."""
     if engine.total_tokens <= 0:
         return 0.0
     fill = min(1.0, engine.used_tokens / engine.total_tokens)
@@ -185,7 +182,7 @@
 
 
 def _memory_wait_s(engine: EngineView, tokens: int) -> float:
-    """Return how long a prompt waits until enough runs have ended to make room for it."""
+    """Return how long a prompt waits until enough requests have ended to free memory for it."""
     if engine.total_tokens <= 0:
         return 0.0
     excess = engine.used_tokens + tokens - engine.total_tokens * USABLE_MEMORY_SHARE
--- a/stairquay/core/rollout.py
+++ b/stairquay/core/rollout.py
@@ -1,36 +1,35 @@
-"""Which engines are told next to load a newly named version of their weights."""
+"""Chooses which engines load a new version of their weights next."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from math import ceil
 
 CONCURRENT_LOADS_SHARE = 0.3
-"""Share of the engines that load at the same time, one at least: one of 5, 16 of 56, where two and 22 load at
-full speed. The others must hold the memory of all runs, about 0.6 of it at usual load; and all are to be
-through in less than twelve seconds, at a second and a half each."""
+"""Share of the engines that load concurrently, at least one. The others must be able to hold the memory of
+all running requests."""
 
 DEADLINE_SHARE = 0.9
-"""Share of the time in which a version is to be everywhere by which all engines are to have loaded it. Where
-the loads left, one after the other, would take longer, more engines load at once, and only as many as that
-takes: while all load, nothing is served. With all of them at once after half of the time, 46 prompts were
-refused in three runs of a calm half minute with two versions, and 1 so."""
+"""Share of the rollout's time limit by which all engines are to have loaded the version. As many more engines
+load concurrently as that takes."""
 
 LOAD_DURATION_S = 1.5
-"""Seconds from an order until the report that it is done: engines load for 0.9 to 1.3 s, and reports are 0.2
-to 0.5 s old. Longer than that only means that a few more load at once."""
+"""Assumed seconds from an order until the engine reports that it has loaded; an upper estimate."""
 
 ACCEPTED_ORDER_TIMEOUT_S = 6.0
-"""Seconds for which an order that was taken counts as under way without a visible effect."""
+"""Seconds for which an accepted order counts as pending if no effect is reported."""
 
 UNANSWERED_ORDER_TIMEOUT_S = 2.5
-"""Seconds after which an order that got no answer is given again: it may be carried out later, and its
-count of orders then no longer fits."""
+"""Seconds after which an unanswered order is sent again. The engine's sequence number rejects a late
+duplicate."""
 
 
 @dataclass(frozen=True)
 class EngineState:
-    """What is known of one engine's weights. `sequence` counts the orders that it has taken; `replaced_s`:
-    seconds for which its weights have been replaced by newer ones."""
+    """What is known of one engine's weights.
+
+    sequence: number of orders that it has accepted, or None if unknown. replaced_s: seconds since its
+    weights were replaced by a newer version.
+    """
 
     id: str
     model: str
@@ -43,19 +42,19 @@
 
 @dataclass(frozen=True)
 class IssuedOrder:
-    """An order that was given, by monotonic time. `answered`: the engine said that it took it."""
+    """An order that was sent, by monotonic time. answered: the engine accepted it."""
 
     at: float
     answered: bool = True
 
     def is_pending(self, now: float) -> bool:
-        """Tell whether the order may still show its effect."""
+        """Tell whether the order may still take effect."""
         return now - self.at < (ACCEPTED_ORDER_TIMEOUT_S if self.answered else UNANSWERED_ORDER_TIMEOUT_S)
 
 
 @dataclass(frozen=True)
 class Order:
-    """Tell an engine to load a version, if it has taken `sequence` orders so far."""
+    """Tells an engine to load a version, provided that it has accepted `sequence` orders so far."""
 
     engine: str
     model: str
@@ -64,7 +63,7 @@
 
 
 def outdated(engines: Iterable[EngineState], target_versions: Mapping[str, int]) -> list[EngineState]:
-    """Return the engines that run an older version than the one named for their model."""
+    """Return the engines that run an older version than their model's target version."""
     return [engine for engine in engines if engine.version < target_versions.get(engine.model, 0)]
 
 
@@ -75,12 +74,11 @@
     now: float,
     within_s: float = float("inf"),
 ) -> list[Order]:
-    """Return the orders to give now, the engines with the oldest weights first, and the least busy of these.
+    """Return the orders to send now, engines with the oldest weights first, then the least busy.
 
-    `given` has the orders already given, by engine and version. An engine whose count of orders is not known
-    gets none: one carried out late could not be told from a newer one. An engine that is loading counts
-    towards the limit; one that did not answer does not, since it may never load. within_s: the time in which
-    a version is to be everywhere.
+    An engine whose sequence number is unknown gets none, since a late order could not be told from a newer
+    one. Loading engines count towards the limit; engines that did not answer do not, since they may never
+    load. issued: orders already sent, by engine and version. within_s: time limit of the rollout.
     """
     known = list(engines)
     pending = {
@@ -105,8 +103,8 @@
 
 
 def _required_concurrency(behind: Iterable[EngineState], within_s: float) -> int:
-    """Return how many engines must load at the same time so that each has done so in time, those first whose
-    weights have been replaced for longest."""
+    """Return how many engines must load concurrently for all to meet the time limit, those whose weights were
+    replaced first going first."""
     needed = 0
     for loads, replaced_s in enumerate(sorted((item.replaced_s for item in behind), reverse=True), start=1):
         left_s = max(LOAD_DURATION_S, within_s * DEADLINE_SHARE - replaced_s)
@@ -120,7 +118,7 @@
     issued: Mapping[tuple[str, int], IssuedOrder],
     now: float,
 ) -> IssuedOrder | None:
-    """Return the order that an engine that is behind may still be carrying out."""
+    """Return the order that an outdated engine may still be carrying out."""
     version = target_versions.get(engine.model, 0)
     order = issued.get((engine.id, version))
     if engine.version >= version or order is None or not order.is_pending(now):
--- a/stairquay/core/scope.py
+++ b/stairquay/core/scope.py
@@ -1,4 +1,4 @@
-"""Names under which context is kept, so that nothing crosses a version of weights or a workspace's wall."""
+"""Scopes of cached context, which keep versions of weights and isolated workspaces apart."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Scope:
-    """What kept context belongs to. `wall` is the one workspace that may use it, empty where all may."""
+    """What cached context belongs to. workspace: the isolated workspace that may use it, empty if all may."""
 
     workspace: str
     model: str
@@ -15,12 +15,12 @@
 
     @property
     def name(self) -> str:
-        """Return the name that endpoints and store boxes know."""
+        """Return the name known to endpoints and store boxes."""
         return SEPARATOR.join((self.workspace, self.model, str(self.version)))
 
 
 def parse_scope(name: str) -> Scope | None:
-    """Return the scope of a name, None where it is not one of ours."""
+    """Return the scope with a name, or None if the name is malformed."""
     workspace, _, remainder = name.partition(SEPARATOR)
     model, _, version = remainder.rpartition(SEPARATOR)
     if not model or not version.isdecimal():
--- a/stairquay/core/versions.py
+++ b/stairquay/core/versions.py
@@ -1,16 +1,16 @@
-"""Since when a version of weights has been replaced by a newer one."""
+"""Records when versions of weights were replaced by newer ones."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 MAX_RECORDS = 8
-"""Versions remembered of one model. Engines are rarely more than two behind; what is forgotten of older ones
-makes them count as replaced earlier, never later."""
+"""Versions remembered for one model. Older ones are merged, which can only make a version count as replaced
+earlier."""
 
 
 @dataclass(frozen=True)
 class VersionRecord:
-    """A version, and the earliest monotonic time in seconds at which it was known to be there."""
+    """A version, and the earliest monotonic time in seconds at which it was known."""
 
     version: int
     at: float
@@ -18,22 +18,22 @@
 
 @dataclass
 class VersionHistory:
-    """The versions of one model as they came, the oldest first."""
+    """The versions of one model, the oldest first."""
 
     records: list[VersionRecord] = field(default_factory=list)
 
     def record(self, version: int, at: float) -> None:
-        """Note that a version was there at a time; the earliest time of each version counts."""
+        """Record that a version was known at a time."""
         self._replace_records([*self.records, VersionRecord(version, at)])
 
     def roll_back(self, version: int, at: float) -> None:
-        """Note that a version is the newest again: what was known of newer ones does not hold any more."""
+        """Record that a version is the newest again, and drop newer ones."""
         self._replace_records(
             [*(record for record in self.records if record.version <= version), VersionRecord(version, at)]
         )
 
     def replaced_at(self, version: int) -> float | None:
-        """Return when the first version newer than this one was there, None where there is none."""
+        """Return when the first newer version was known, or None if there is none."""
         return min((record.at for record in self.records if record.version > version), default=None)
 
     def _replace_records(self, records: Iterable[VersionRecord]) -> None:
