--- a/stairquay/core/attempt.py
+++ b/stairquay/core/attempt.py
@@ -81,7 +81,7 @@
         return bool(_MACHINE.events[name].trigger(self))
 
 
-def combine_ran(first: Ran, second: Ran) -> Ran:
+def combine_execution_status(first: Ran, second: Ran) -> Ran:
     """Return whether a request ran, after two of its attempts."""
     order = [Ran.NOT_RUN, Ran.UNKNOWN, Ran.RAN]
     return max(first, second, key=order.index)
--- a/stairquay/core/limits.py
+++ b/stairquay/core/limits.py
@@ -23,13 +23,13 @@
 class LimitReport:
     """The limit that an answer reported for its endpoint, in requests per second.
 
-    sent_at, heard_at: monotonic seconds when the request was sent and when the head of the answer was
+    sent_at, received_at: monotonic seconds when the request was sent and when the head of the answer was
     received; the report was made between them.
     """
 
     per_s: float
     sent_at: float
-    heard_at: float
+    received_at: float
 
 
 def parse_decimal(text: str) -> float | None:
@@ -41,19 +41,19 @@
     return value if isfinite(value) else None
 
 
-def merge_reports(known: LimitReport | None, received: LimitReport) -> LimitReport:
+def merge_reports(known: LimitReport | None, incoming: LimitReport) -> LimitReport:
     """Return the report that holds after two reports about one endpoint, in whichever order they were
     received.
 
     A report is newer only if its request was sent after the other's answer was received. If neither is,
     the lower limit holds with its own times, so that concurrent answers do not end or prolong a limit.
     """
-    if known is None or received.sent_at >= known.heard_at:
-        return received
-    if known.sent_at >= received.heard_at:
+    if known is None or incoming.sent_at >= known.received_at:
+        return incoming
+    if known.sent_at >= incoming.received_at:
         return known
-    if known.per_s != received.per_s:
-        return min(known, received, key=lambda report: report.per_s)
+    if known.per_s != incoming.per_s:
+        return min(known, incoming, key=lambda report: report.per_s)
     return LimitReport(
-        known.per_s, max(known.sent_at, received.sent_at), max(known.heard_at, received.heard_at)
+        known.per_s, max(known.sent_at, incoming.sent_at), max(known.received_at, incoming.received_at)
     )
--- a/stairquay/entry/attempts.py
+++ b/stairquay/entry/attempts.py
@@ -16,7 +16,7 @@
     RUN_OUTCOME_LEAVING,
     RUN_OUTCOME_WRONG_VERSION,
 )
-from stairquay.core.attempt import Attempt, combine_ran
+from stairquay.core.attempt import Attempt, combine_execution_status
 from stairquay.core.errors import ErrorKind, Ran, Refusal
 from stairquay.core.models import Service, Workspace
 from stairquay.core.retry import backoff_s
@@ -112,7 +112,7 @@
             failure = outcome.err_value
             if failure.answered is not None:
                 return Ok(failure.answered)
-            ran = combine_ran(ran, failure.ran)
+            ran = combine_execution_status(ran, failure.ran)
             tried = _after(tried, chosen.ok_value.endpoint, failure)
             if not self._may_retry(arrival, failure, number):
                 break
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.attempt import Attempt, combine_ran
+from stairquay.core.attempt import Attempt, combine_execution_status
 from stairquay.core.call import Dispatch
 from stairquay.core.catalog import engine_priority
 from stairquay.core.errors import ErrorKind, Ran, Refusal
@@ -279,7 +279,7 @@
         """Take in a failed attempt."""
         now = monotonic()
         progress.last = failure
-        progress.ran = combine_ran(progress.ran, failure.ran)
+        progress.ran = combine_execution_status(progress.ran, failure.ran)
         progress.tried.add(begun.choice.endpoint.id)
         if failure.ran == Ran.NOT_RUN:
             progress.refused += 1
--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -121,7 +121,7 @@
 
     def bound(self, now: float) -> bool:
         """Tell whether what the endpoint lately said still binds this box."""
-        limited = self.limit is not None and now - self.limit.heard_at < SAID_KEPT_S
+        limited = self.limit is not None and now - self.limit.received_at < SAID_KEPT_S
         return limited or (self.rest is not None and self.rest.wait_s(now) > 0)
 
     def silent(self, now: float) -> bool:
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -105,7 +105,7 @@
     if now_per_s == before:
         return
     if now_per_s == UNLIMITED:
-        held.limit_ended_at = told.heard_at
+        held.limit_ended_at = told.received_at
     outcome = "ended" if now_per_s == UNLIMITED else "named" if before == UNLIMITED else "changed"
     state.log.line(
         Decision.LIMIT,
--- a/stairquay/serving/telling.py
+++ b/stairquay/serving/telling.py
@@ -41,7 +41,7 @@
     limit = held.limit
     if limit is None:
         return None
-    return StatementTold(endpoint.id, held.born, limit.per_s, now - limit.sent_at, now - limit.heard_at)
+    return StatementTold(endpoint.id, held.born, limit.per_s, now - limit.sent_at, now - limit.received_at)
 
 
 def take_told(state: BoxState, told: Iterable[StatementTold], now: float) -> None:
--- a/tests/test_limits_named.py
+++ b/tests/test_limits_named.py
@@ -33,13 +33,13 @@
 
 
 def test_an_answer_to_a_request_that_was_sent_after_a_limit_was_heard_ends_it():
-    named = LimitReport(2.8, sent_at=1.0, heard_at=1.1)
-    assert merge_reports(named, LimitReport(UNLIMITED, sent_at=1.2, heard_at=1.3)).per_s == UNLIMITED
+    named = LimitReport(2.8, sent_at=1.0, received_at=1.1)
+    assert merge_reports(named, LimitReport(UNLIMITED, sent_at=1.2, received_at=1.3)).per_s == UNLIMITED
 
 
 def test_an_answer_that_crossed_the_one_that_named_a_limit_ends_nothing():
-    named = LimitReport(2.8, sent_at=1.0, heard_at=1.1)
-    late = LimitReport(UNLIMITED, sent_at=1.05, heard_at=1.5)
+    named = LimitReport(2.8, sent_at=1.0, received_at=1.1)
+    late = LimitReport(UNLIMITED, sent_at=1.05, received_at=1.5)
     assert merge_reports(named, late).per_s == merge_reports(late, named).per_s == 2.8
 
 
@@ -51,7 +51,7 @@
 @given(news(), news())
 def test_the_order_in_which_two_boxes_hear_of_the_same_words_does_not_matter(first, second):
     a, b = merge_reports(first, second), merge_reports(second, first)
-    if first.sent_at != second.heard_at and second.sent_at != first.heard_at:
+    if first.sent_at != second.received_at and second.sent_at != first.received_at:
         assert a == b
 
 
@@ -59,4 +59,4 @@
 def test_a_limit_ends_only_by_an_answer_that_is_surely_newer(known, told):
     held = merge_reports(known, told)
     if known.per_s < UNLIMITED and held.per_s == UNLIMITED:
-        assert told.sent_at >= known.heard_at
+        assert told.sent_at >= known.received_at
