--- a/stairquay/core/fleet.py
+++ b/stairquay/core/fleet.py
@@ -50,7 +50,8 @@
     cold_s: float = field(default=0.0, compare=False)
 
     def is_older(self, other: "Endpoint") -> bool:
-        """Tell whether this entry was written before another one with the same id."""
+        """Tell whether this entry was written before another one with the same id, by incarnation, then by
+        sequence."""
         if not self.born or not other.born:
             return False
         return (self.born, self.sequence) < (other.born, other.sequence)
@@ -66,7 +67,7 @@
     leaving_by_id: dict[str, LeavingIncarnation] = field(default_factory=dict)
 
     def mark_leaving(self, endpoint_id: str, born: int, now: float) -> bool:
-        """Mark an incarnation of an endpoint as leaving; tell whether that is news."""
+        """Mark an incarnation of an endpoint as leaving; return False if it was marked already."""
         known = self.leaving_by_id.get(endpoint_id)
         if known is not None and born <= known.born:
             return False
--- a/stairquay/core/placement.py
+++ b/stairquay/core/placement.py
@@ -1,7 +1,7 @@
 """Ranks engines for a prompt by the predicted time to the first token.
 
-Context cached by another engine or a store box is fetched over its link if that is faster than reading the
-tokens again.
+Context cached by another engine or a store box is fetched over its link, which is much faster than reading
+the tokens again.
 """
 
 from collections.abc import Callable, Sequence
