--- a/stairquay/platform/statements.py
+++ b/stairquay/platform/statements.py
@@ -6,8 +6,8 @@
 
 from multidict import CIMultiDictProxy
 
-from stairquay.core.backoff import parse_date, parse_retry_after
 from stairquay.core.limits import UNLIMITED, parse_decimal
+from stairquay.core.rest import parse_date, parse_retry_after
 from stairquay.platform.names import DATE, LEAVING, LIMIT, RETRY_AFTER
 from stairquay.serving.ports import Statement, Topic
 
--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -4,9 +4,9 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from stairquay.core.backoff import Backoff
 from stairquay.core.limits import LimitReport
 from stairquay.core.pace import Pacer
+from stairquay.core.rest import Backoff
 from stairquay.serving.ports import EngineReport, Topic
 
 NEVER = float("-inf")
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -8,9 +8,9 @@
 from dataclasses import replace
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.backoff import Backoff
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED, LimitReport, merge_reports
+from stairquay.core.rest import Backoff
 from stairquay.serving.decisions import Decision
 from stairquay.serving.endpoint import EndpointState
 from stairquay.serving.ports import Statement, Topic
--- a/tests/test_statements_read.py
+++ b/tests/test_statements_read.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from stairquay.core.backoff import MAX_BACKOFF_S, PROBE_INTERVAL_S, Backoff, parse_retry_after
+from stairquay.core.rest import MAX_BACKOFF_S, PROBE_INTERVAL_S, Backoff, parse_retry_after
 from stairquay.platform.statements import statement
 from stairquay.serving.ports import Statement, Topic
 
