--- a/stairquay/core/limits.py
+++ b/stairquay/core/limits.py
@@ -1,8 +1,8 @@
-"""Rate limits that endpoints name in their answers, and which of two statements about one is the newer one.
+"""Rate limits that endpoints report in their answers.
 
-An endpoint that is short of room names in its answers how many requests a second it takes from all callers
-together, for as long as it does so. Answers come to many boxes and late, and boxes tell each other what they
-heard: an older answer must not undo what a newer one said.
+A limit is the requests per second that an endpoint takes from all callers together. Answers arrive late
+and out of order, and boxes forward reports to each other, so an older report must not override a newer
+one.
 """
 
 import re
@@ -10,49 +10,50 @@
 from math import inf, isfinite
 
 UNLIMITED = inf
-"""Requests a second of an endpoint that names no limit."""
+"""Requests per second of an endpoint that reports no limit."""
 
-MAX_DIGITS = 32
-"""Longest text that is read as a number."""
+MAX_NUMBER_LENGTH = 32
+"""Maximum length in characters of a number in a header."""
 
-DECIMAL = re.compile(r"(\d+\.?\d*|\.\d+)(e[+-]?\d{1,3})?", re.ASCII | re.IGNORECASE)
-"""A decimal number without a sign; words such as `nan` are none."""
+DECIMAL_PATTERN = re.compile(r"(\d+\.?\d*|\.\d+)(e[+-]?\d{1,3})?", re.ASCII | re.IGNORECASE)
+"""A decimal number without a sign; excludes words such as `nan`."""
 
 
 @dataclass(frozen=True)
-class LimitNews:
-    """What an answer said of its endpoint's limit, in requests a second from all callers together.
+class LimitReport:
+    """The limit that an answer reported for its endpoint, in requests per second.
 
-    sent_at, heard_at: monotonic seconds between which the answer was begun: when its request was sent, and
-    when its head came.
+    sent_at, received_at: monotonic seconds when the request was sent and when the head of the answer was
+    received; the report was made between them.
     """
 
     per_s: float
     sent_at: float
-    heard_at: float
+    received_at: float
 
 
-def read_decimal(text: str) -> float | None:
-    """Return a decimal number that an answer gives, None where the text is none: a limit in requests a
-    second, a rest in seconds."""
+def parse_decimal(text: str) -> float | None:
+    """Return the decimal number in a header value, or None if it is malformed or out of range."""
     text = text.strip()
-    if len(text) > MAX_DIGITS or DECIMAL.fullmatch(text) is None:
+    if len(text) > MAX_NUMBER_LENGTH or DECIMAL_PATTERN.fullmatch(text) is None:
         return None
     value = float(text)
     return value if isfinite(value) else None
 
 
-def newer(known: LimitNews | None, told: LimitNews) -> LimitNews:
-    """Return what holds after two statements about one endpoint, whichever of them was heard of first.
+def merge_reports(known: LimitReport | None, incoming: LimitReport) -> LimitReport:
+    """Return the report that holds after two reports about one endpoint, in whichever order they were
+    received.
 
-    One is newer than another only if its request was sent after the other's answer had come. Where neither
-    is, the lower limit holds: answers that cross must not end a limit. It keeps its own times: an answer that
-    names none must not make a limit seem to have been heard again.
+    A report is newer only if its request was sent after the other's answer was received. If neither is,
+    the lower limit holds with its own times, so that concurrent answers do not end or prolong a limit.
     """
-    if known is None or told.sent_at >= known.heard_at:
-        return told
-    if known.sent_at >= told.heard_at:
+    if known is None or incoming.sent_at >= known.received_at:
+        return incoming
+    if known.sent_at >= incoming.received_at:
         return known
-    if known.per_s != told.per_s:
-        return min(known, told, key=lambda news: news.per_s)
-    return LimitNews(known.per_s, max(known.sent_at, told.sent_at), max(known.heard_at, told.heard_at))
+    if known.per_s != incoming.per_s:
+        return min(known, incoming, key=lambda report: report.per_s)
+    return LimitReport(
+        known.per_s, max(known.sent_at, incoming.sent_at), max(known.received_at, incoming.received_at)
+    )
--- a/stairquay/core/versions.py
+++ b/stairquay/core/versions.py
@@ -1,16 +1,16 @@
-"""Since when a version of weights has been replaced by a newer one."""
+"""Records when versions of weights were replaced by newer ones."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-MAX_SIGHTS = 8
-"""Versions remembered of one model. Engines are rarely more than two behind; what is forgotten of older ones
-makes them count as replaced earlier, never later."""
+MAX_RECORDS = 8
+"""Versions remembered for one model. Older ones are merged, which can only make a version count as replaced
+earlier."""
 
 
 @dataclass(frozen=True)
-class Sight:
-    """A version, and the earliest monotonic time in seconds at which it was known to be there."""
+class VersionRecord:
+    """A version, and the earliest monotonic time in seconds at which it was known."""
 
     version: int
     at: float
@@ -18,28 +18,30 @@
 
 @dataclass
 class VersionHistory:
-    """The versions of one model as they came, the oldest first."""
+    """The versions of one model, the oldest first."""
 
-    sights: list[Sight] = field(default_factory=list)
+    records: list[VersionRecord] = field(default_factory=list)
 
     def record(self, version: int, at: float) -> None:
-        """Note that a version was there at a time; the earliest time of each version counts."""
-        self._keep([*self.sights, Sight(version, at)])
+        """Record that a version was known at a time."""
+        self._replace_records([*self.records, VersionRecord(version, at)])
 
-    def fall_back(self, version: int, at: float) -> None:
-        """Note that a version is the newest again: what was known of newer ones does not hold any more."""
-        self._keep([*(sight for sight in self.sights if sight.version <= version), Sight(version, at)])
+    def roll_back(self, version: int, at: float) -> None:
+        """Record that a version is the newest again, and drop newer ones."""
+        self._replace_records(
+            [*(record for record in self.records if record.version <= version), VersionRecord(version, at)]
+        )
 
     def replaced_at(self, version: int) -> float | None:
-        """Return when the first version newer than this one was there, None where there is none."""
-        return min((sight.at for sight in self.sights if sight.version > version), default=None)
+        """Return when the first newer version was known, or None if there is none."""
+        return min((record.at for record in self.records if record.version > version), default=None)
 
-    def _keep(self, sights: Iterable[Sight]) -> None:
+    def _replace_records(self, records: Iterable[VersionRecord]) -> None:
         earliest: dict[int, float] = {}
-        for sight in sights:
-            earliest[sight.version] = min(sight.at, earliest.get(sight.version, sight.at))
-        kept = [Sight(version, earliest[version]) for version in sorted(earliest)]
-        while len(kept) > MAX_SIGHTS:
+        for record in records:
+            earliest[record.version] = min(record.at, earliest.get(record.version, record.at))
+        kept = [VersionRecord(version, earliest[version]) for version in sorted(earliest)]
+        while len(kept) > MAX_RECORDS:
             first, second = kept[:2]
-            kept[:2] = [Sight(second.version, min(first.at, second.at))]
-        self.sights = kept
+            kept[:2] = [VersionRecord(second.version, min(first.at, second.at))]
+        self.records = kept
--- a/stairquay/serving/cold.py
+++ b/stairquay/serving/cold.py
@@ -28,6 +28,6 @@
     endpoint_state = state.endpoint_state(endpoint)
     until = endpoint_state.cold_until
     if endpoint_state.unreachable_at > NEVER:
-        until = max(until, endpoint_state.unreachable_at + limit.start_s)
+        until = max(until, endpoint_state.unreachable_at + limit.after_start_s)
     evacuation_ended_at = state.evacuation_ended_at_by_hall.get(endpoint.data_hall, NEVER)
     return max(0.0, max(until, evacuation_ended_at + POST_EVACUATION_COLD_S) - now)
--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -13,7 +13,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.adapters.ports import Changes, Commit, Committed, Condition, Write
 from stairquay.core.clock import ClockOffset
-from stairquay.core.crashes import KEPT_S, Crash
+from stairquay.core.crashes import CRASH_TTL_S, Crash
 from stairquay.core.row import Row
 from stairquay.serving.ports import CrashTable, FeedFault
 from stairquay.serving.quarantine import CrashReport
@@ -115,7 +115,7 @@
         now = monotonic()
         for row in changes.rows:
             report = self.state.quarantine.reports_by_key.get(row.key)
-            if report is None or any(now - at < KEPT_S for at in report.timestamps()):
+            if report is None or any(now - at < CRASH_TTL_S for at in report.timestamps()):
                 continue
             await self.table.commit(Commit("", (Condition(row.key, row.revision),), (Write(row.key, None),)))
 
@@ -126,10 +126,10 @@
             return False
         row = CrashRow(
             tuple(
-                (item.digest, item.life, offset.theirs(item.at), item.ran_s, item.events)
+                (item.digest, item.incarnation, offset.to_remote(item.at), item.ran_s, item.events)
                 for item in quarantine.own_crashes.values()
             ),
-            tuple((digest, offset.theirs(at)) for digest, at in quarantine.cleared.items()),
+            tuple((digest, offset.to_remote(at)) for digest, at in quarantine.cleared.items()),
         )
         key, value = self.state.settings.id, msgspec.json.encode(row).decode()
         answer = await self.table.commit(Commit("", (Condition(key, self.revision),), (Write(key, value),)))
@@ -156,7 +156,9 @@
         return CrashReport()
     now = monotonic()
     crashes = (
-        Crash(digest, incarnation, min(now, offset.ours(at)), ran_s, events)
+        Crash(digest, incarnation, min(now, offset.to_local(at)), ran_s, events)
         for digest, incarnation, at, ran_s, events in decoded.crashes
     )
-    return CrashReport(tuple(crashes), {digest: min(now, offset.ours(at)) for digest, at in decoded.cleared})
+    return CrashReport(
+        tuple(crashes), {digest: min(now, offset.to_local(at)) for digest, at in decoded.cleared}
+    )
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -7,9 +7,9 @@
 from result import Err, Ok, Result
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.attempt import Attempt, worst
+from stairquay.core.attempt import Attempt, combine_execution_status
 from stairquay.core.call import Dispatch
-from stairquay.core.catalog import urgency
+from stairquay.core.catalog import engine_priority
 from stairquay.core.errors import ErrorKind, ExecutionStatus, Refusal
 from stairquay.serving.crashes import CrashDetector
 from stairquay.serving.endpoint import BUSY_BACKOFF_S
@@ -137,7 +137,7 @@
             # The request never left this box, so that a retry needs no budget.
             return None if progress.refused < MAX_REFUSED else refusal
         if failure.ran != ExecutionStatus.NOT_RUN:
-            if not job.route.may_run_again or progress.runs >= job.route.max_attempts:
+            if not job.route.retryable or progress.runs >= job.route.max_attempts:
                 return refusal
         elif progress.refused >= MAX_REFUSED:
             return refusal
@@ -201,7 +201,7 @@
             address=choice.endpoint.address,
             time_left_s=left_s,
             workspace=job.workspace_id,
-            priority=None if placement is None else urgency(job.route, job.workspace),
+            priority=None if placement is None else engine_priority(job.route, job.workspace),
             context_scope=choice.scope,
             version=choice.version,
             fetch_from=() if placement is None else placement.fetch_from,
@@ -256,7 +256,7 @@
     ) -> bool:
         """Keep an endpoint's error reply. Return whether the job is retried instead of relaying it."""
         progress.kept_reply = (reply, body)
-        should_retry = job.route.may_run_again and progress.runs + 1 < job.route.max_attempts
+        should_retry = job.route.retryable and progress.runs + 1 < job.route.max_attempts
         if not should_retry:
             return False
         begun.attempt.lose()
@@ -282,7 +282,7 @@
         """Record a failed attempt."""
         now = monotonic()
         progress.last = failure
-        progress.ran = worst(progress.ran, failure.ran)
+        progress.ran = combine_execution_status(progress.ran, failure.ran)
         progress.tried.add(begun.choice.endpoint.id)
         if failure.ran == ExecutionStatus.NOT_RUN:
             progress.refused += 1
@@ -363,6 +363,6 @@
 
     Only first attempts of the lowest priority are shed, so that the others still meet their objectives.
     """
-    if progress.tried or not job.catalog.least_urgent(job.route, job.service.id):
+    if progress.tried or not job.catalog.is_lowest_priority(job.route, job.service.id):
         return None
     return job.route.objective_s * SHED_BACKLOG_SHARE
--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -4,9 +4,9 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from stairquay.core.limits import LimitNews
-from stairquay.core.pace import Pace
-from stairquay.core.rest import Rest
+from stairquay.core.limits import LimitReport
+from stairquay.core.pace import Pacer
+from stairquay.core.rest import Backoff
 from stairquay.serving.ports import EngineReport, Topic
 
 NEVER = float("-inf")
@@ -53,11 +53,11 @@
     known_since: float = NEVER
     cold_until: float = NEVER
     unreachable_at: float = NEVER
-    router_pacer: Pace | None = None
-    standalone_pacer: Pace | None = None
-    limit: LimitNews | None = None
+    router_pacer: Pacer | None = None
+    standalone_pacer: Pacer | None = None
+    limit: LimitReport | None = None
     limit_ended_at: float = NEVER
-    backoff: Rest | None = None
+    backoff: Backoff | None = None
     unreadable_by_topic: dict[Topic, str] = field(default_factory=dict)
 
     in_flight: int = 0
@@ -118,7 +118,7 @@
 
     def has_active_limits(self, now: float) -> bool:
         """Tell whether a rate limit or back-off still applies to this box."""
-        limited = self.limit is not None and now - self.limit.heard_at < LIMIT_TTL_S
+        limited = self.limit is not None and now - self.limit.received_at < LIMIT_TTL_S
         return limited or (self.backoff is not None and self.backoff.wait_s(now) > 0)
 
     def silent(self, now: float) -> bool:
--- a/stairquay/serving/endpoint_choice.py
+++ b/stairquay/serving/endpoint_choice.py
@@ -7,17 +7,10 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import PromptShape
-from stairquay.core.catalog import Catalog, EngineShape, ServiceShape, WorkspaceRule
+from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec, WorkspacePolicy
 from stairquay.core.fleet import Endpoint
-from stairquay.core.ownership import ranked
-from stairquay.core.placement import (
-    EngineView,
-    Placement,
-    Source,
-    backlog_s,
-    pick,
-    place,
-)
+from stairquay.core.ownership import rank_owners
+from stairquay.core.placement import EngineView, Placement, Source, backlog_s, pick_quickest, rank_placements
 from stairquay.core.scope import Scope
 from stairquay.serving.engine_views import best_sources, engine_view, usable_sources
 from stairquay.serving.evacuation import takes_work
@@ -71,9 +64,9 @@
     backoffs_s: by endpoint id, the seconds of back-off left for the sender.
     """
 
-    service: ServiceShape
+    service: ServiceSpec
     prompt: PromptShape | None = None
-    workspace: WorkspaceRule | None = None
+    workspace: WorkspacePolicy | None = None
     tried: frozenset[str] = frozenset()
     sender: str = ""
     backoffs_s: Mapping[str, float] = field(default_factory=dict)
@@ -100,7 +93,7 @@
     return _best_choice(state, request, prompt, placements, random, now) if placements else None
 
 
-def context_scope(workspace: WorkspaceRule | None, model: str, version: int) -> str:
+def context_scope(workspace: WorkspacePolicy | None, model: str, version: int) -> str:
     """Return the cache scope of a model version, which is per workspace if that is isolated."""
     isolated_workspace = workspace.id if workspace is not None and workspace.isolated else ""
     return Scope(isolated_workspace, model, version).name
@@ -146,7 +139,7 @@
 def _preferred_engines(sender: str, candidates: Sequence[Endpoint]) -> frozenset[str]:
     """Return the engines that a box prefers, by rendezvous hashing."""
     count = ceil(len(candidates) * PREFERRED_SHARE)
-    return frozenset(ranked(sender.encode(), [item.id for item in candidates], count))
+    return frozenset(rank_owners(sender.encode(), [item.id for item in candidates], count))
 
 
 def _is_busy(state: BoxState, endpoint: Endpoint) -> bool:
@@ -168,7 +161,7 @@
     catalog: Catalog,
     request: ChoiceRequest,
     prompt: PromptShape,
-    engine: EngineShape,
+    engine: EngineSpec,
     candidates: Sequence[Endpoint],
     now: float,
 ) -> list[Placement]:
@@ -194,7 +187,7 @@
             best = best_by_part[index, scope] = best_sources(state, usable, scope, prompt.parts[index])
         return next((source for source in best if source.address != address), None)
 
-    found = place(prompt.parts, prompt.tokens, views, source_of, engine.bytes_per_token)
+    found = rank_placements(prompt.parts, prompt.tokens, views, source_of, engine.bytes_per_token)
     return [
         item
         for item in found
@@ -210,7 +203,7 @@
     random: Random,
     now: float,
 ) -> Choice:
-    best = pick(placements, random)
+    best = pick_quickest(placements, random)
     endpoint = state.fleet.by_id[best.engine.id]
     version = state.version_of(endpoint, prompt.model)
     return Choice(
--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -10,7 +10,7 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import PromptShape
-from stairquay.core.catalog import WorkspaceRule
+from stairquay.core.catalog import WorkspacePolicy
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.placement import EngineView, Placement
@@ -165,7 +165,7 @@
         if endpoint is None:
             return reply.endpoint in state.fleet.leaving_by_id
         by_router = UNLIMITED if reply.said is None else reply.said.per_s
-        if limit_of(state.endpoint_state(endpoint)) < by_router or state.fleet.leaves(endpoint):
+        if limit_of(state.endpoint_state(endpoint)) < by_router or state.fleet.is_leaving(endpoint):
             return True
         return endpoint.id in backoffs_by_id(state, now)
 
@@ -228,7 +228,7 @@
         most_backlog_s: float | None,
         may_wait: bool,
     ) -> PlaceRequest:
-        workspace: WorkspaceRule | None = job.workspace
+        workspace: WorkspacePolicy | None = job.workspace
         return PlaceRequest(
             ticket=f"{job.call.id} {len(progress.tried)}",
             box=self.state.settings.id,
--- a/stairquay/serving/engine_views.py
+++ b/stairquay/serving/engine_views.py
@@ -5,9 +5,9 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import Part, PromptShape
-from stairquay.core.catalog import Catalog, EngineShape, StoreShape
+from stairquay.core.catalog import Catalog, EngineSpec, StoreSpec
 from stairquay.core.fleet import Endpoint
-from stairquay.core.placement import PREFILL_TOKENS_S, EngineView, Source
+from stairquay.core.placement import PREFILL_TOKENS_PER_S, EngineView, Source
 from stairquay.serving.endpoint import EndpointState
 from stairquay.serving.ports import EngineReport
 from stairquay.serving.state import BoxState
@@ -41,8 +41,8 @@
         running=_running(state, endpoint, endpoint_state),
         failing=endpoint_state.current_failure_rate(now),
         outdated=outdated,
-        here=endpoint.data_hall == state.settings.data_hall,
-        familiar=preferred is None or endpoint.id in preferred,
+        same_hall=endpoint.data_hall == state.settings.data_hall,
+        preferred=preferred is None or endpoint.id in preferred,
         used_tokens=used_tokens,
         slots=slots,
         total_tokens=0.0 if endpoint_state.report is None else endpoint_state.report.total_tokens,
@@ -67,7 +67,7 @@
 def _waiting_tokens(state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, now: float) -> float:
     """Return the prompt tokens whose prefill an engine has not finished."""
     if endpoint.id in state.routed_engines:
-        return max(0.0, endpoint_state.prefill_until - now) * PREFILL_TOKENS_S
+        return max(0.0, endpoint_state.prefill_until - now) * PREFILL_TOKENS_PER_S
     return sum(endpoint_state.waiting_tokens_by_request.values())
 
 
@@ -76,18 +76,18 @@
     return 0.0 if report is None else float(report.queued * report.next_tokens)
 
 
-def fresh_stores(state: BoxState, catalog: Catalog) -> list[StoreShape]:
+def fresh_stores(state: BoxState, catalog: Catalog) -> list[StoreSpec]:
     """Return the store boxes whose content is currently known."""
     now = monotonic()
     return [
         store
         for store in catalog.stores_by_id.values()
         if (holding := state.holdings.by_address.get(store.address)) is not None
-        and now - holding.heard_at < STORE_VIEW_TTL_S
+        and now - holding.updated_at < STORE_VIEW_TTL_S
     ]
 
 
-def usable_sources(state: BoxState, catalog: Catalog, engine: EngineShape, now: float) -> dict[str, Source]:
+def usable_sources(state: BoxState, catalog: Catalog, engine: EngineSpec, now: float) -> dict[str, Source]:
     """Return by address the sources that context can be fetched from now, with no tokens yet."""
     by_address: dict[str, Source] = {}
     for endpoint in state.fleet.live():
@@ -95,7 +95,9 @@
         if endpoint.data_hall not in state.evacuated and not state.endpoint_state(endpoint).silent(now):
             by_address[endpoint.address] = Source(endpoint.address, 0, engine.link_bytes_s)
     for store in fresh_stores(state, catalog):
-        by_address[store.address] = Source(store.address, 0, store.link_bytes_s, store.first_s, lasting=True)
+        by_address[store.address] = Source(
+            store.address, 0, store.link_bytes_s, store.first_byte_s, durable=True
+        )
     return by_address
 
 
@@ -110,4 +112,4 @@
         if source is not None:
             tokens = min(part.tokens, state.holdings.tokens(holder, scope, part.id))
             found.append(replace(source, tokens=tokens))
-    return nlargest(2, found, key=lambda source: (source.tokens, source.lasting, source.bytes_s))
+    return nlargest(2, found, key=lambda source: (source.tokens, source.durable, source.bytes_s))
--- a/stairquay/serving/local_router.py
+++ b/stairquay/serving/local_router.py
@@ -12,10 +12,10 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.call import Part, PromptShape
-from stairquay.core.catalog import WorkspaceRule
+from stairquay.core.catalog import WorkspacePolicy
 from stairquay.core.fleet import Endpoint
-from stairquay.core.holdings import Key
-from stairquay.core.placement import read_s
+from stairquay.core.holdings import PartKey
+from stairquay.core.placement import prefill_s
 from stairquay.core.routers import Engine, engines_of
 from stairquay.serving.cold import cold_for_s
 from stairquay.serving.crash_rows import STALE_S
@@ -75,7 +75,7 @@
     expected_prefill_s: float
     tokens: int
     address: str = ""
-    shared_parts: tuple[tuple[Key, int], ...] = ()
+    shared_parts: tuple[tuple[PartKey, int], ...] = ()
     rate_limited: bool = False
 
 
@@ -86,7 +86,7 @@
         self.state = state
         self.random = random
         self.placed_by_ticket: dict[str, PlacedPrompt] = {}
-        self.prefill_ticket_by_key: dict[Key, str] = {}
+        self.prefill_ticket_by_key: dict[PartKey, str] = {}
         self.server: grpc.aio.Server | None = None
 
     async def run(self) -> None:
@@ -192,7 +192,7 @@
             return None
         parts = tuple(Part(part.id, part.tokens) for part in request.parts)
         prompt = PromptShape(request.model, parts, request.tokens, request.max_output)
-        workspace = WorkspaceRule(request.wall, isolated=True) if request.wall else None
+        workspace = WorkspacePolicy(request.wall, isolated=True) if request.wall else None
         wanted = ChoiceRequest(service, prompt, workspace, frozenset(request.tried), request.box, backoffs_s)
         return choose_and_save(self.state, catalog, wanted, self.random)
 
@@ -201,7 +201,7 @@
         placement = choice.placement
         assert placement is not None
         self.finished(Ended(request.ticket, Outcome.NOT_SENT))
-        expected_prefill_s = read_s(placement.read, request.tokens)
+        expected_prefill_s = prefill_s(placement.read, request.tokens)
         address = choice.endpoint.address
         shared_parts = tuple(((choice.scope, part.id), part.tokens) for part in request.parts[:-1])
         endpoint_state = self.state.endpoint_state(choice.endpoint)
@@ -345,7 +345,7 @@
             return known, None
         report = quarantine.report_to_forward()
         crashes = tuple(
-            CrashTold(crash.digest, crash.life, now - crash.at, crash.ran_s, crash.events)
+            CrashTold(crash.digest, crash.incarnation, now - crash.at, crash.ran_s, crash.events)
             for crash in report.crashes
         )
         cleared = tuple((digest, now - at) for digest, at in report.cleared.items())
--- a/stairquay/serving/pacing.py
+++ b/stairquay/serving/pacing.py
@@ -8,7 +8,7 @@
 
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED
-from stairquay.core.pace import COLD_SHARES, LEAST_PER_S, LIMIT_SHARES, Bound, Pace, pace_alone
+from stairquay.core.pace import COLD_SHARES, LIMIT_SHARES, MIN_PER_S, Pacer, RateBound, standalone_pacer
 from stairquay.serving.cold import cold_for_s, cold_limit_of
 from stairquay.serving.endpoint import NEVER, EndpointState
 from stairquay.serving.evacuation import takes_work
@@ -28,15 +28,15 @@
 """Longest time in seconds over which the retries of callers refused together are spread."""
 
 
-def rate_bounds(state: BoxState, endpoint: Endpoint, now: float) -> list[Bound]:
+def rate_bounds(state: BoxState, endpoint: Endpoint, now: float) -> list[RateBound]:
     """Return the bounds on an endpoint's request rate now; usually there are none."""
     bounds = []
     limit_per_s = limit_of(state.endpoint_state(endpoint))
     if limit_per_s < UNLIMITED:
-        bounds.append(Bound(max(LEAST_PER_S, limit_per_s), LIMIT_SHARES))
+        bounds.append(RateBound(max(MIN_PER_S, limit_per_s), LIMIT_SHARES))
     cold = cold_limit_of(state, endpoint)
     if cold is not None and cold_for_s(state, endpoint, now) > 0:
-        bounds.append(Bound(cold.per_s, COLD_SHARES))
+        bounds.append(RateBound(cold.per_s, COLD_SHARES))
     return bounds
 
 
@@ -69,10 +69,10 @@
 def refund_sent(endpoint_state: EndpointState) -> None:
     """As the endpoint's router, undo count_sent for a request that never reached it."""
     if endpoint_state.router_pacer is not None:
-        endpoint_state.router_pacer.take_back()
+        endpoint_state.router_pacer.refund()
 
 
-def box_rate_per_s(state: BoxState, endpoint: Endpoint, bounds: list[Bound]) -> float:
+def box_rate_per_s(state: BoxState, endpoint: Endpoint, bounds: list[RateBound]) -> float:
     """Return the requests per second that this box may send to an endpoint, by its strictest bound."""
     return min(bound.per_s * _box_share(state, endpoint, bound) for bound in bounds)
 
@@ -112,7 +112,7 @@
     return delay_s
 
 
-def _retry_rate_per_s(state: BoxState, endpoint: Endpoint, bounds: list[Bound] | None) -> float:
+def _retry_rate_per_s(state: BoxState, endpoint: Endpoint, bounds: list[RateBound] | None) -> float:
     """Return the retries per second that an endpoint accepts from this box: by its bounds, else by its slots
     and response time."""
     if bounds:
@@ -130,22 +130,22 @@
     return min(pause_s, cold_for_s(state, endpoint, now), MAX_COLD_RETRY_S)
 
 
-def _box_share(state: BoxState, endpoint: Endpoint, bound: Bound) -> float:
+def _box_share(state: BoxState, endpoint: Endpoint, bound: RateBound) -> float:
     if endpoint.id in state.routed_engines:
         return bound.shares.router
     boxes = ASSUMED_BOXES if state.boxes_known_at == NEVER else max(1, len(state.boxes))
     routed = state.catalog is not None and state.catalog.engine_of(endpoint.service) is not None
-    return (bound.shares.alone if routed else bound.shares.split) / boxes
+    return (bound.shares.standalone if routed else bound.shares.unrouted) / boxes
 
 
-def _router_pacer(state: BoxState, endpoint: Endpoint, now: float) -> Pace:
+def _router_pacer(state: BoxState, endpoint: Endpoint, now: float) -> Pacer:
     endpoint_state = state.endpoint_state(endpoint)
     if endpoint_state.router_pacer is None:
-        endpoint_state.router_pacer = Pace(now)
+        endpoint_state.router_pacer = Pacer(now)
     return endpoint_state.router_pacer
 
 
-def _standalone_pacer(state: BoxState, endpoint: Endpoint, now: float, per_s: float, random: Random) -> Pace:
+def _standalone_pacer(state: BoxState, endpoint: Endpoint, now: float, per_s: float, random: Random) -> Pacer:
     endpoint_state = state.endpoint_state(endpoint)
-    endpoint_state.standalone_pacer = pace_alone(endpoint_state.standalone_pacer, now, per_s, random)
+    endpoint_state.standalone_pacer = standalone_pacer(endpoint_state.standalone_pacer, now, per_s, random)
     return endpoint_state.standalone_pacer
--- a/stairquay/serving/quarantine.py
+++ b/stairquay/serving/quarantine.py
@@ -9,7 +9,13 @@
 from dataclasses import dataclass, field
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.crashes import KEPT_S, Crash, Quarantined, quarantined, unexplained
+from stairquay.core.crashes import (
+    CRASH_TTL_S,
+    Crash,
+    QuarantinedRequest,
+    find_quarantined,
+    unexplained_crashes,
+)
 from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.endpoint import NEVER
 from stairquay.serving.event_log import EventLog, LogEvent
@@ -72,7 +78,7 @@
         self.served_at: OrderedDict[str, float] = OrderedDict()
         self.unpublished = False
         self.changed = ChangeNotifier()
-        self.quarantined_by_digest: dict[str, Quarantined] = {}
+        self.quarantined_by_digest: dict[str, QuarantinedRequest] = {}
         self.crashes_by_digest: Counter[str] = Counter()
 
     def remaining_s(self, digest: str) -> float:
@@ -85,7 +91,7 @@
         now = monotonic()
         for crash in crashes:
             if now - self.served_at.get(crash.digest, NEVER) > SERVED_TRUST_S:
-                self.own_crashes[crash.digest, crash.life] = crash
+                self.own_crashes[crash.digest, crash.incarnation] = crash
         self._prune_own_crashes(now)
         self._mark_unpublished()
         self._update_quarantine()
@@ -117,7 +123,9 @@
 
     def restore_own_row(self, report: CrashReport) -> None:
         """Merge the row written by an earlier process of this box."""
-        self.own_crashes = {(crash.digest, crash.life): crash for crash in report.crashes} | self.own_crashes
+        self.own_crashes = {
+            (crash.digest, crash.incarnation): crash for crash in report.crashes
+        } | self.own_crashes
         self.cleared = dict(report.cleared) | self.cleared
         self._prune_own_crashes(monotonic())
         self._mark_unpublished()
@@ -143,9 +151,9 @@
     def report_to_forward(self) -> CrashReport:
         """Return clearances, and crashes of requests that are quarantined or present at several crashes."""
         by_digest: dict[str, list[Crash]] = {}
-        for crash in unexplained(self._counted_crashes(), self.quarantined_by_digest):
+        for crash in unexplained_crashes(self._counted_crashes(), self.quarantined_by_digest):
             by_digest.setdefault(crash.digest, []).append(crash)
-        suspected = [group for group in by_digest.values() if len({crash.life for crash in group}) > 1]
+        suspected = [group for group in by_digest.values() if len({crash.incarnation for crash in group}) > 1]
         groups = [list(item.crashes) for item in self.quarantined_by_digest.values()] + suspected
         newest = (sorted(group, key=_newest_first)[:MAX_FORWARDED_PER_REQUEST] for group in groups)
         crashes = tuple(crash for group in newest for crash in group)[:MAX_FORWARDED]
@@ -203,11 +211,14 @@
     def _update_quarantine(self) -> None:
         crashes = self._counted_crashes()
         self.crashes_by_digest = Counter(
-            digest for digest, _ in {(item.digest, item.life) for item in crashes}
+            digest for digest, _ in {(item.digest, item.incarnation) for item in crashes}
+        )
+        before, self.quarantined_by_digest = (
+            self.quarantined_by_digest,
+            find_quarantined(crashes, monotonic()),
         )
-        before, self.quarantined_by_digest = self.quarantined_by_digest, quarantined(crashes, monotonic())
         for digest in self.quarantined_by_digest.keys() - before.keys():
-            incarnations = [crash.life for crash in self.quarantined_by_digest[digest].crashes]
+            incarnations = [crash.incarnation for crash in self.quarantined_by_digest[digest].crashes]
             self.log.line(LogEvent.QUARANTINE, outcome="begun", digest=digest, crashed=incarnations)
         for digest in before.keys() - self.quarantined_by_digest.keys():
             self.log.line(LogEvent.QUARANTINE, outcome="ended", digest=digest)
@@ -215,14 +226,14 @@
     def _prune_own_crashes(self, now: float) -> None:
         """Drop own crashes and clearances that are expired, cleared, or beyond MAX_OWN_CRASHES."""
         cleared = sorted(self.cleared.items(), key=lambda item: -item[1])[:MAX_OWN_CRASHES]
-        self.cleared = {digest: at for digest, at in cleared if now - at < KEPT_S}
+        self.cleared = {digest: at for digest, at in cleared if now - at < CRASH_TTL_S}
         counted = [
             crash
             for crash in self.own_crashes.values()
-            if now - crash.at < KEPT_S and crash.at > self.cleared.get(crash.digest, NEVER)
+            if now - crash.at < CRASH_TTL_S and crash.at > self.cleared.get(crash.digest, NEVER)
         ]
         kept = sorted(counted, key=_newest_first)[:MAX_OWN_CRASHES]
-        self.own_crashes = {(crash.digest, crash.life): crash for crash in kept}
+        self.own_crashes = {(crash.digest, crash.incarnation): crash for crash in kept}
 
 
 def _newest_first(crash: Crash) -> float:
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -3,11 +3,11 @@
 from dataclasses import dataclass, field
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.budget import WindowBudget
+from stairquay.core.budget import WindowedRetryBudget
 from stairquay.core.catalog import Catalog
 from stairquay.core.fleet import Endpoint, Fleet
 from stairquay.core.holdings import Holdings
-from stairquay.core.routers import Member, capacity, followers, placing
+from stairquay.core.routers import Member, capacity, pick_followers, pick_placing_routers
 from stairquay.core.versions import VersionHistory
 from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.endpoint import NEVER, EndpointState
@@ -75,7 +75,7 @@
     version_history_by_model: dict[str, VersionHistory] = field(default_factory=dict)
     endpoints_by_id: dict[str, EndpointState] = field(default_factory=dict)
     holdings: Holdings = field(default_factory=Holdings)
-    retry_budgets_by_service: dict[str, WindowBudget] = field(default_factory=dict)
+    retry_budgets_by_service: dict[str, WindowedRetryBudget] = field(default_factory=dict)
     boxes: tuple[str, ...] = ()
     boxes_known_at: float = NEVER
     operators_revision: int = 0
@@ -145,7 +145,7 @@
 
     def following_routers(self) -> list[Member]:
         """Return the routers that currently follow the table service."""
-        return followers(self.live_routers())
+        return pick_followers(self.live_routers())
 
     def placing_routers(self) -> list[Member]:
         """Return the routers that place prompts now, as many as the engines warrant.
@@ -161,7 +161,7 @@
         )
         live = self.live_routers()
         staying = [router for router in live if router.data_hall not in self.evacuated]
-        return placing(staying or live, engines)
+        return pick_placing_routers(staying or live, engines)
 
     def list_age(self) -> float:
         """Return the age of the list of endpoints in seconds."""
@@ -224,7 +224,7 @@
     def cold_start_s(self, service: str) -> float:
         """Return the seconds for which endpoints of a service are cold after a start."""
         spec = None if self.catalog is None else self.catalog.services_by_id.get(service)
-        return 0.0 if spec is None or spec.cold is None else spec.cold.start_s
+        return 0.0 if spec is None or spec.cold is None else spec.cold.after_start_s
 
     def _reset_endpoint(
         self, endpoint: Endpoint, endpoint_state: EndpointState, born: int, source: str
@@ -312,11 +312,11 @@
         begins_s = replaced_s + first_token_s * FIRST_TOKEN_MARGIN
         return replaced_s > 0 and begins_s > self.settings.versions_within_s * VERSION_DEADLINE_SHARE
 
-    def retry_budget(self, service: str) -> WindowBudget:
+    def retry_budget(self, service: str) -> WindowedRetryBudget:
         """Return the retry budget of a service."""
         budget = self.retry_budgets_by_service.get(service)
         if budget is None:
-            budget = self.retry_budgets_by_service[service] = WindowBudget(self.settings.repeats)
+            budget = self.retry_budgets_by_service[service] = WindowedRetryBudget(self.settings.repeats)
         return budget
 
     def take_retry(self, service: str) -> bool:
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -8,8 +8,8 @@
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.fleet import Endpoint
-from stairquay.core.limits import UNLIMITED, LimitNews, newer
-from stairquay.core.rest import Rest
+from stairquay.core.limits import UNLIMITED, LimitReport, merge_reports
+from stairquay.core.rest import Backoff
 from stairquay.serving.endpoint import EndpointState
 from stairquay.serving.event_log import LogEvent
 from stairquay.serving.ports import Statement, Topic
@@ -36,7 +36,7 @@
     for topic, text in feedback.unreadable:
         _record_unreadable(state, endpoint, endpoint_state, topic, text)
     if feedback.limit_per_s is not None:
-        apply_limit(state, endpoint, endpoint_state, LimitNews(feedback.limit_per_s, sent_at, now))
+        apply_limit(state, endpoint, endpoint_state, LimitReport(feedback.limit_per_s, sent_at, now))
     if feedback.leaving:
         apply_leaving(state, endpoint.id, endpoint_state.born, "answer")
     if feedback.rest_s is not None:
@@ -45,7 +45,7 @@
 
 def apply_leaving(state: BoxState, endpoint_id: str, born: int, source: str) -> None:
     """Mark an incarnation of an endpoint as leaving, so that it gets no new work. source: for the log."""
-    if not state.fleet.say_leaving(endpoint_id, born, monotonic()):
+    if not state.fleet.mark_leaving(endpoint_id, born, monotonic()):
         return
     listed = state.fleet.by_id.get(endpoint_id)
     state.log.line(
@@ -82,7 +82,7 @@
     if backoff is not None and backoff.until >= now + backoff_s:
         return
     delay_s = _stagger_s(state, endpoint, endpoint_state, backoff_s)
-    endpoint_state.backoff = Rest(now + backoff_s + delay_s)
+    endpoint_state.backoff = Backoff(now + backoff_s + delay_s)
     state.backing_off.add(endpoint.id)
     state.log.line(
         LogEvent.REST,
@@ -106,19 +106,19 @@
 
 
 def apply_limit(
-    state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, report: LimitNews
+    state: BoxState, endpoint: Endpoint, endpoint_state: EndpointState, report: LimitReport
 ) -> None:
     """Apply the rate limit of an answer that this box or another one received."""
     if endpoint_state.limit is None and report.per_s == UNLIMITED:
         return
     previous_per_s = limit_of(endpoint_state)
     state.limited.add(endpoint.id)
-    endpoint_state.limit = newer(endpoint_state.limit, report)
+    endpoint_state.limit = merge_reports(endpoint_state.limit, report)
     new_per_s = limit_of(endpoint_state)
     if new_per_s == previous_per_s:
         return
     if new_per_s == UNLIMITED:
-        endpoint_state.limit_ended_at = report.heard_at
+        endpoint_state.limit_ended_at = report.received_at
     outcome = "ended" if new_per_s == UNLIMITED else "named" if previous_per_s == UNLIMITED else "changed"
     state.log.line(
         LogEvent.LIMIT,
@@ -175,4 +175,4 @@
 def record_probe(endpoint_state: EndpointState, now: float) -> None:
     """Record that a request is sent, whose answer shows whether the backoff has ended."""
     if endpoint_state.backoff is not None:
-        endpoint_state.backoff = replace(endpoint_state.backoff, tried_at=now)
+        endpoint_state.backoff = replace(endpoint_state.backoff, probed_at=now)
--- a/stairquay/serving/telling.py
+++ b/stairquay/serving/telling.py
@@ -5,7 +5,7 @@
 from msgspec import structs
 
 from stairquay.core.fleet import Endpoint
-from stairquay.core.limits import UNLIMITED, LimitNews
+from stairquay.core.limits import UNLIMITED, LimitReport
 from stairquay.serving.endpoint import EndpointState
 from stairquay.serving.messages import StatementTold
 from stairquay.serving.state import BoxState
@@ -47,7 +47,7 @@
     if limit is None:
         return None
     return StatementTold(
-        endpoint.id, endpoint_state.born, limit.per_s, now - limit.sent_at, now - limit.heard_at
+        endpoint.id, endpoint_state.born, limit.per_s, now - limit.sent_at, now - limit.received_at
     )
 
 
@@ -68,7 +68,7 @@
             or (item.born and endpoint_state.born and item.born != endpoint_state.born)
         ):
             continue
-        report = LimitNews(item.per_s, now - item.sent_ago_s - MAX_MESSAGE_DELAY_S, now - item.heard_ago_s)
+        report = LimitReport(item.per_s, now - item.sent_ago_s - MAX_MESSAGE_DELAY_S, now - item.heard_ago_s)
         apply_limit(state, endpoint, endpoint_state, report)
 
 
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -7,8 +7,8 @@
 import asyncio
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.catalog import Catalog, StoreShape
-from stairquay.core.holdings import Key
+from stairquay.core.catalog import Catalog, StoreSpec
+from stairquay.core.holdings import PartKey
 from stairquay.core.scope import parse_scope
 from stairquay.core.versions import VersionHistory
 from stairquay.serving.endpoint_choice import FETCH_TIMEOUT_S
@@ -69,28 +69,28 @@
         for model, version in oldest.items():
             if self.oldest_by_model.get(model) != version:
                 self.oldest_by_model[model] = version
-                self.oldest_seen_by_model.setdefault(model, VersionHistory()).fall_back(version, monotonic())
+                self.oldest_seen_by_model.setdefault(model, VersionHistory()).roll_back(version, monotonic())
 
-    async def _free(self, store: StoreShape) -> None:
+    async def _free(self, store: StoreSpec) -> None:
         holding = self.state.holdings.by_address.get(store.address)
         if holding is None:
             return
         keys = tuple(key for key in holding.tokens_by_key if self._useless(key))[:AT_ONCE]
         if not keys:
             return
-        done = await self.peers.free(store.address, keys, holding.life)
+        done = await self.peers.free(store.address, keys, holding.incarnation)
         if done:
             self.state.metrics.freed.inc(len(keys))
         self.state.log.line(
             LogEvent.FREED,
             store=store.id,
             parts=len(keys),
-            life=holding.life,
+            life=holding.incarnation,
             oldest=self.oldest_by_model,
             outcome="freed" if done else "refused or silent",
         )
 
-    def _useless(self, key: Key) -> bool:
+    def _useless(self, key: PartKey) -> bool:
         scope = parse_scope(key[0])
         if scope is None:
             return False
--- a/tests/loads/test_limits_of_endpoints.py
+++ b/tests/loads/test_limits_of_endpoints.py
@@ -16,10 +16,10 @@
 
 import pytest
 
-from stairquay.core.catalog import Catalog, EngineShape, ServiceShape
+from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec
 from stairquay.core.fleet import Endpoint
-from stairquay.core.limits import UNLIMITED, LimitNews
-from stairquay.core.pace import LIMIT_SHARES, Pace
+from stairquay.core.limits import UNLIMITED, LimitReport
+from stairquay.core.pace import LIMIT_SHARES, Pacer
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.pacing import count_sent, wait_s
 from stairquay.serving.ports import EndpointChanges
@@ -49,8 +49,8 @@
 CATALOG = Catalog(
     1,
     services_by_id={
-        "llm": ServiceShape("llm", 100, EngineShape(8, 100_000, 100, 1e9, ("m",))),
-        "plain": ServiceShape("plain", 100),
+        "llm": ServiceSpec("llm", 100, EngineSpec(8, 100_000, 100, 1e9, ("m",))),
+        "plain": ServiceSpec("plain", 100),
     },
 )
 
@@ -136,7 +136,9 @@
 
     def _answered(self, box: int, sent_at: float, now: float, per_s: float) -> None:
         state = self.boxes[box]
-        apply_limit(state, self.endpoint, state.endpoint_state(self.endpoint), LimitNews(per_s, sent_at, now))
+        apply_limit(
+            state, self.endpoint, state.endpoint_state(self.endpoint), LimitReport(per_s, sent_at, now)
+        )
         if per_s < UNLIMITED:
             self.told_at_by_box.setdefault(box, now)
 
@@ -278,7 +280,7 @@
 def test_two_routers_that_each_spent_nearly_all_of_a_limit_would_pass_it(share):
     """The ways that lost."""
     per_s = 9.0
-    paces = [Pace(0.0), Pace(0.0)]
+    paces = [Pacer(0.0), Pacer(0.0)]
     sent = 0
     for step in range(400):
         for pace in paces:
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -4,10 +4,10 @@
 from random import Random
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.catalog import Catalog, EngineShape, ServiceShape
+from stairquay.core.catalog import Catalog, EngineSpec, ServiceSpec
 from stairquay.core.cold import ColdLimit
 from stairquay.core.fleet import Endpoint, Fleet
-from stairquay.core.rollout import Given
+from stairquay.core.rollout import IssuedOrder
 from stairquay.core.routers import Member
 from stairquay.serving.cold import POST_EVACUATION_COLD_S, cold_for_s
 from stairquay.serving.following import apply_endpoints, apply_operators
@@ -28,8 +28,8 @@
 from tests.states import box_state
 
 START_S = 3.0
-LIMIT = ColdLimit(per_s=18.0, start_s=START_S)
-SERVICE = ServiceShape("llm", 100, EngineShape(8, 100_000, 100, 1e9, ("m",)), LIMIT)
+LIMIT = ColdLimit(per_s=18.0, after_start_s=START_S)
+SERVICE = ServiceSpec("llm", 100, EngineSpec(8, 100_000, 100, 1e9, ("m",)), LIMIT)
 CATALOG = Catalog(1, services_by_id={"llm": SERVICE})
 ENGINE = Endpoint("e", "llm", "10.0.1.1:1", "hall-a", 8, versions_by_model={"m": 1}, born=1_000, sequence=5)
 CHANCE = Random(1)
@@ -127,7 +127,7 @@
 def test_an_order_that_the_last_life_took_does_not_hold_up_the_next_one():
     state = state_with(ENGINE)
     giver = OrderGiver(state, None, None)
-    giver.given = {("e", 2): Given(monotonic() - 0.1), ("f", 2): Given(monotonic())}
+    giver.given = {("e", 2): IssuedOrder(monotonic() - 0.1), ("f", 2): IssuedOrder(monotonic())}
     giver._forget_old_lives()
     assert len(giver.given) == 2
     listed(state, replace(ENGINE, born=2_000, sequence=1))
--- a/tests/test_serving_core.py
+++ b/tests/test_serving_core.py
@@ -7,19 +7,19 @@
 from hypothesis import strategies as st
 
 from stairquay.adapters.clock import monotonic
-from stairquay.core.budget import Allowance, WindowBudget
+from stairquay.core.budget import RetryAllowance, WindowedRetryBudget
 from stairquay.core.call import Part
-from stairquay.core.catalog import Catalog, Route, Split, WorkspaceRule, pick_service, urgency
+from stairquay.core.catalog import Catalog, Route, Split, WorkspacePolicy, engine_priority, pick_service
 from stairquay.core.fleet import MISSING_GRACE_S, Endpoint, Fleet
 from stairquay.core.holdings import MAX_DROPPED, Holdings, PartEvent
-from stairquay.core.placement import EngineView, Source, pick, place
+from stairquay.core.placement import EngineView, Source, pick_quickest, rank_placements
 from stairquay.core.rollout import (
-    DONE_SHARE,
-    LOAD_S,
-    ORDER_SETTLES_S,
-    SILENT_SETTLES_S,
+    ACCEPTED_ORDER_TIMEOUT_S,
+    DEADLINE_SHARE,
+    LOAD_DURATION_S,
+    UNANSWERED_ORDER_TIMEOUT_S,
     EngineState,
-    Given,
+    IssuedOrder,
     next_orders,
 )
 from stairquay.core.scope import Scope, parse_scope
@@ -48,11 +48,11 @@
 
 
 def test_a_workspaces_rank_goes_before_its_routes_and_routes_keep_their_order_within_it():
-    first, second = WorkspaceRule("a", priority=0), WorkspaceRule("b", priority=1)
+    first, second = WorkspacePolicy("a", priority=0), WorkspacePolicy("b", priority=1)
     urgent, calm = make_route(priority=0), make_route(priority=2)
-    ranks = [urgency(route, space) for space in (first, second) for route in (urgent, calm)]
+    ranks = [engine_priority(route, space) for space in (first, second) for route in (urgent, calm)]
     assert ranks == sorted(set(ranks))
-    assert urgency(make_route(priority=40), WorkspaceRule("c", priority=9)) == 9
+    assert engine_priority(make_route(priority=40), WorkspacePolicy("c", priority=9)) == 9
 
 
 def test_a_leaving_endpoint_stays_leaving_whatever_the_list_says_later():
@@ -72,7 +72,7 @@
     fleet.apply([Endpoint("e", "s", "a:1"), Endpoint("f", "s", "a:2")], [], 0.0)
     fleet.apply([], ["e"], 1.0)
     assert [item.id for item in fleet.usable("s", 1.1)] == ["f"]
-    fleet.apply_whole([], 2.0)
+    fleet.apply_snapshot([], 2.0)
     assert {item.id for item in fleet.usable("s", 2.1)} == {"e", "f"}
     assert [item.id for item in fleet.usable("s", 1.0 + MISSING_GRACE_S + 0.1)] == ["f"]
     assert fleet.usable("s", 2.0 + MISSING_GRACE_S + 0.1) == []
@@ -90,8 +90,8 @@
     st.lists(st.tuples(st.floats(0, 0.4), st.booleans(), st.integers(0, 8)), max_size=400),
 )
 def test_all_boxes_together_never_exceed_the_allowance_in_any_window(boxes, steps):
-    allowance = Allowance(ratio=0.2, slack=50, window_s=10.0)
-    budgets = [WindowBudget(allowance) for _ in range(boxes)]
+    allowance = RetryAllowance(ratio=0.2, slack=50, window_s=10.0)
+    budgets = [WindowedRetryBudget(allowance) for _ in range(boxes)]
     now, requests, repeats = 0.0, [], []
     for pause, repeat, chosen in steps:
         now += pause
@@ -124,8 +124,8 @@
 )
 def test_boxes_killed_and_started_anew_at_any_time_never_exceed_the_allowance(boxes, unread_s, steps):
     """Each box counts itself alone until it has read, `unread_s` after its start, how many there are."""
-    allowance = Allowance(ratio=0.2, slack=10, window_s=10.0)
-    budgets = [WindowBudget(allowance) for _ in range(boxes)]
+    allowance = RetryAllowance(ratio=0.2, slack=10, window_s=10.0)
+    budgets = [WindowedRetryBudget(allowance) for _ in range(boxes)]
     started = [0.0] * boxes
     now, requests, repeats = 0.0, [], []
     for pause, step, chosen in steps:
@@ -133,7 +133,7 @@
         box = chosen % boxes
         known_s = now - started[box] - unread_s
         if step == "kill":
-            budgets[box], started[box] = WindowBudget(allowance), now
+            budgets[box], started[box] = WindowedRetryBudget(allowance), now
         elif step == "request":
             budgets[box].on_request(now)
             requests.append(now)
@@ -147,12 +147,12 @@
     state = box_state()
     state.boxes = ("b-1",)
     assert not state.take_retry("s")
-    state.boxes, state.boxes_known_at = ("b-1", "b-2"), monotonic() - Allowance().window_s - 1.0
+    state.boxes, state.boxes_known_at = ("b-1", "b-2"), monotonic() - RetryAllowance().window_s - 1.0
     taken = [state.take_retry("s") for _ in range(10)]
     assert taken == [True] * 3 + [False] * 7  # 0.7 of 10, for two boxes
 
 
-def take(budget: WindowBudget, now: float, boxes: int, known_s: float) -> bool:
+def take(budget: WindowedRetryBudget, now: float, boxes: int, known_s: float) -> bool:
     """Take a repeat at a box that has known of the others for `known_s`; below 0, it does not yet."""
     return budget.take(now, boxes if known_s >= 0 else 1, max(0.0, known_s))
 
@@ -191,19 +191,19 @@
 
 def test_an_engine_that_keeps_the_prompt_wins_unless_its_queue_is_longer_than_reading():
     keeps, idle = engine("keeps", (500, 8_000, 0)), engine("idle")
-    assert place(PARTS, 10_500, [idle, keeps], no_source, 35_000)[0].engine is keeps
+    assert rank_placements(PARTS, 10_500, [idle, keeps], no_source, 35_000)[0].engine is keeps
     waits = replace(keeps, waiting_tokens=40_000.0)
-    assert place(PARTS, 10_500, [idle, waits], no_source, 35_000)[0].engine is idle
+    assert rank_placements(PARTS, 10_500, [idle, waits], no_source, 35_000)[0].engine is idle
 
 
 def test_bringing_context_over_a_quick_link_beats_reading_it_anew():
     def source(index, address):
         return Source("store:1", PARTS[index].tokens, 16e9, 0.006) if index < 2 else None
 
-    best = place(PARTS, 10_500, [engine("e")], source, 35_000)[0]
+    best = rank_placements(PARTS, 10_500, [engine("e")], source, 35_000)[0]
     assert (best.reused, best.fetched, best.read) == (0, 8_500, 2_000)
     assert best.fetch_from == ("store:1", "store:1", "")
-    without = place(PARTS, 10_500, [engine("e")], no_source, 35_000)[0]
+    without = rank_placements(PARTS, 10_500, [engine("e")], no_source, 35_000)[0]
     assert best.first_token_s < without.first_token_s
 
 
@@ -211,20 +211,20 @@
     def only_second(index, address):
         return Source("store:1", 8_000, 16e9) if index == 1 else None
 
-    best = place(PARTS, 10_500, [engine("e")], only_second, 35_000)[0]
+    best = rank_placements(PARTS, 10_500, [engine("e")], only_second, 35_000)[0]
     assert best.fetched == 0 and best.read == 10_500
 
 
 def test_an_engine_whose_memory_is_full_is_left_for_one_that_has_room():
     full = engine("full", (500, 8_000, 0), used_tokens=178_000, total_tokens=179_000)
     roomy = engine("roomy", used_tokens=60_000, total_tokens=179_000)
-    assert place(PARTS, 10_500, [full, roomy], no_source, 35_000)[0].engine is roomy
+    assert rank_placements(PARTS, 10_500, [full, roomy], no_source, 35_000)[0].engine is roomy
 
 
 @given(st.integers(0, 10_000))
 def test_only_engines_about_as_quick_as_the_best_are_drawn(seed):
     views = [engine("a"), engine("b"), engine("slow", waiting_tokens=30_000.0)]
-    drawn = pick(place(PARTS, 10_500, views, no_source, 35_000), Random(seed))
+    drawn = pick_quickest(rank_placements(PARTS, 10_500, views, no_source, 35_000), Random(seed))
     assert drawn.engine.id in ("a", "b")
 
 
@@ -241,9 +241,9 @@
 
 def test_an_order_that_shows_no_effect_is_given_again_and_a_newer_version_overtakes_it():
     one = [ENGINES[0]]
-    given_before = {("e0", 2): Given(100.0)}
-    assert not next_orders(one, {"m": 2}, given_before, 100.0 + ORDER_SETTLES_S - 0.1)
-    assert next_orders(one, {"m": 2}, given_before, 100.0 + ORDER_SETTLES_S + 0.1)
+    given_before = {("e0", 2): IssuedOrder(100.0)}
+    assert not next_orders(one, {"m": 2}, given_before, 100.0 + ACCEPTED_ORDER_TIMEOUT_S - 0.1)
+    assert next_orders(one, {"m": 2}, given_before, 100.0 + ACCEPTED_ORDER_TIMEOUT_S + 0.1)
     assert next_orders(one, {"m": 3}, given_before, 100.1)[0].version == 3
     assert not next_orders([replace(one[0], version=2)], {"m": 2}, {}, 0.0)
     assert not next_orders([replace(one[0], sequence=None)], {"m": 2}, {}, 0.0)
@@ -266,14 +266,14 @@
 def test_an_engine_without_a_free_slot_is_left_for_one_that_has_one():
     full = engine("full", (500, 8_000, 0), running=12, slots=12)
     free = engine("free", running=3, slots=12)
-    assert place(PARTS, 10_500, [full, free], no_source, 35_000)[0].engine is free
+    assert rank_placements(PARTS, 10_500, [full, free], no_source, 35_000)[0].engine is free
 
 
 def test_an_order_without_answer_holds_up_no_other_engine_and_is_given_again_sooner():
-    given_before = {("e0", 2): Given(100.0, answered=False), ("e1", 2): Given(100.0)}
+    given_before = {("e0", 2): IssuedOrder(100.0, answered=False), ("e1", 2): IssuedOrder(100.0)}
     orders = next_orders(ENGINES, {"m": 2}, given_before, 101.0)
     assert [order.engine for order in orders] == ["e2", "e3"]
-    again = next_orders(ENGINES[:1], {"m": 2}, given_before, 100.0 + SILENT_SETTLES_S + 0.1)
+    again = next_orders(ENGINES[:1], {"m": 2}, given_before, 100.0 + UNANSWERED_ORDER_TIMEOUT_S + 0.1)
     assert [order.engine for order in again] == ["e0"]
 
 
@@ -296,7 +296,7 @@
     engines = [EngineState(str(n), "m", 1, sequence=0, replaced_s=age) for n, age in enumerate(ages)]
     at_once = len(next_orders(engines, {"m": 2}, {}, 0.0, within_s))
     for loads, age in enumerate(sorted(ages, reverse=True), start=1):
-        if within_s * DONE_SHARE - age >= LOAD_S:
-            assert loads * LOAD_S / at_once <= within_s * DONE_SHARE - age + 1e-6
+        if within_s * DEADLINE_SHARE - age >= LOAD_DURATION_S:
+            assert loads * LOAD_DURATION_S / at_once <= within_s * DEADLINE_SHARE - age + 1e-6
         else:
             assert at_once >= loads
