--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -30,7 +30,7 @@
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import Surroundings
 from stairquay.serving.settings import BoxSettings
-from stairquay.serving.shared_feeds import SharedFeeds
+from stairquay.serving.sharing import SharedFeeds
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import backoffs_by_id, limit_of
 from stairquay.serving.upkeep import Upkeep
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -17,7 +17,7 @@
     ViewsRequest,
 )
 from stairquay.serving.ports import EndpointChanges, OperatorChanges
-from stairquay.serving.shared_feeds import SharedFeeds
+from stairquay.serving.sharing import SharedFeeds
 from stairquay.serving.state import BoxState
 from tests.site import eventually
 from tests.states import box_state
