--- a/stairquay/entry/app.py
+++ b/stairquay/entry/app.py
@@ -26,7 +26,7 @@
 from stairquay.entry.upstream import open_session
 
 ROLE = "entry"
-CLOSE_S = 1.0
+SHUTDOWN_TIMEOUT_S = 1.0
 """Seconds that the server gives to requests which are left when `drain_s` is over."""
 
 
@@ -42,9 +42,9 @@
         view=view,
         platform=platform,
         channels=channels,
-        session=open_session(entry.connect_timeout_s, reuse=True),
-        once_session=open_session(entry.connect_timeout_s, reuse=False),
-        side_session=ClientSession(auto_decompress=False),
+        pooled_session=open_session(entry.connect_timeout_s, reuse=True),
+        unpooled_session=open_session(entry.connect_timeout_s, reuse=False),
+        run_control_session=ClientSession(auto_decompress=False),
         random=random.Random(),
     )
     claims = Claims(platform, settings.box.id, entry.claim_batch, entry.claim_timeout_s)
@@ -62,7 +62,7 @@
         entry.listen,
         handler_cancellation=True,
         auto_decompress=False,
-        shutdown_timeout=CLOSE_S,
+        shutdown_timeout=SHUTDOWN_TIMEOUT_S,
         max_field_size=entry.max_header_bytes,
         ssl_context=server_context(entry.tls),
         reuse_port=entry.reuse_port,
@@ -72,17 +72,17 @@
     tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
     logging.info("entry %s listens on %s", settings.box.id, entry.listen)
     await until_stopped(tasks)
-    await _finish(context, entry)
+    await _drain(context, entry)
     await site.cleanup()
     await operations.cleanup()
     await tasks.cancel()
-    for session in (context.session, context.once_session, context.side_session):
+    for session in (context.pooled_session, context.unpooled_session, context.run_control_session):
         await session.close()
     await channels.close()
     await platform.close()
 
 
-async def _finish(context: EntryContext, entry: EntrySettings) -> None:
+async def _drain(context: EntryContext, entry: EntrySettings) -> None:
     """Turn unready, serve on until the balancer has seen it, then finish what is under way."""
     context.stopping = True
     await asyncio.sleep(entry.lame_duck_s)
--- a/stairquay/entry/attempts.py
+++ b/stairquay/entry/attempts.py
@@ -50,7 +50,7 @@
     repeatable: bool
     replayable: bool = True
     returning: bool = True
-    urgent: bool = True
+    high_priority: bool = True
     on_first: list[Callable[[], None]] = field(default_factory=list)
 
 
@@ -100,7 +100,7 @@
         """Return the caller's answer, or the refusal that is true of all attempts together."""
         ran = ExecutionStatus.NOT_RUN
         tried = Tried(self._ejected(arrival))
-        budget = self.context.budget(arrival.service.id)
+        budget = self.context.retry_budget(arrival.service.id)
         budget.on_request()
         for number in range(1, self.context.settings.max_attempts + 1):
             chosen = await work.choose(tried, arrival.deadline)
@@ -141,8 +141,8 @@
     async def _exchange(
         self, arrival: Arrival, work: Work, target: Target, attempt: Attempt, usage: Usage
     ) -> Result[web.StreamResponse, Failure]:
-        session = self.context.session if arrival.repeatable else self.context.once_session
-        outgoing = work.prepare(target, attempt.run_id, arrival.urgent)
+        session = self.context.pooled_session if arrival.repeatable else self.context.unpooled_session
+        outgoing = work.prepare(target, attempt.run_id, arrival.high_priority)
         limit_s = self.context.settings.first_byte_timeout_s
         try:
             opened = await open_response(session, outgoing, attempt, arrival.deadline, limit_s)
@@ -196,7 +196,7 @@
 
     def _ejected(self, arrival: Arrival) -> frozenset[str]:
         ejected = self.context.ejector(arrival.service.id).ejected(monotonic())
-        if ejected >= set(self.context.usable(arrival.service)):
+        if ejected >= set(self.context.usable_endpoints(arrival.service)):
             return frozenset()
         return frozenset(ejected)
 
@@ -212,7 +212,7 @@
             return False
         if failure.kind == ErrorKind.DEADLINE or monotonic() >= arrival.deadline:
             return False
-        return not failure.fault or self.context.budget(arrival.service.id).take()
+        return not failure.fault or self.context.retry_budget(arrival.service.id).take()
 
     def _pause_s(self, arrival: Arrival, failure: Failure, number: int) -> float:
         if not failure.fault:
--- a/stairquay/entry/prompts.py
+++ b/stairquay/entry/prompts.py
@@ -36,13 +36,13 @@
     return Ok(service)
 
 
-def priority(workspace: Workspace, urgent: bool) -> int:
+def engine_priority(workspace: Workspace, high_priority: bool) -> int:
     """Return a run's priority at its engine; higher goes first.
 
     Within one priority of workspaces, those go first that have no more waiting here: a flood does not
     get before others at the engines what fair queueing has kept from it at the entry.
     """
-    return 2 * workspace.priority + urgent
+    return 2 * workspace.priority + high_priority
 
 
 def prompt_work(
@@ -59,11 +59,11 @@
     described = identify_prompt(key, prompt.opening, prompt.text)
     choose = routes.chooser(arrival.service, workspace, described, prompt.turn)
 
-    def prepare(target: Target, run_id: str, urgent: bool) -> Outgoing:
+    def prepare(target: Target, run_id: str, high_priority: bool) -> Outgoing:
         headers = {
             "Content-Type": "application/json",
             RUN_HEADER: run_id,
-            PRIORITY_HEADER: str(priority(workspace, urgent)),
+            PRIORITY_HEADER: str(engine_priority(workspace, high_priority)),
         }
         body = engine_body(prompt, target.ids, target.version)
         return Outgoing("POST", f"http://{target.address}{request.path}", headers, body)
--- a/stairquay/entry/relay.py
+++ b/stairquay/entry/relay.py
@@ -199,7 +199,7 @@
         limit_s = min(self.context.settings.stall_timeout_s, self.arrival.deadline - monotonic())
         try:
             async with asyncio.timeout(limit_s):
-                response = await self.context.side_session.get(url)
+                response = await self.context.run_control_session.get(url)
         except (ClientError, TimeoutError):
             return None
         same_run = response.headers.get(RUN_HEADER) == attempt.run_id
@@ -233,7 +233,7 @@
     """Tell an engine that nobody waits for a run any more."""
     url = f"http://{target.address}/runs/{run_id}"
     try:
-        async with context.side_session.delete(url, timeout=ClientTimeout(total=CANCEL_TIMEOUT_S)):
+        async with context.run_control_session.delete(url, timeout=ClientTimeout(total=CANCEL_TIMEOUT_S)):
             return
     except (ClientError, asyncio.TimeoutError):
         return
--- a/stairquay/entry/server.py
+++ b/stairquay/entry/server.py
@@ -165,24 +165,24 @@
         metrics = self.context.metrics
         labels = (metrics.labels.of(workspace.id), arrival.service.id)
         metrics.requests.labels(*labels).inc()
-        refused = self.context.limits.admit(workspace, self.context.share(), monotonic())
+        refused = self.context.limits.admit(workspace, self.context.box_share(), monotonic())
         if refused is not None:
             return Err(refused)
         try:
-            gate = self.context.gate(arrival.service)
+            limiter = self.context.limiter(arrival.service)
             waits_from = monotonic()
-            limit_s = min(gate.queue.max_wait_s, arrival.deadline - waits_from)
-            entered = await gate.enter(workspace, limit_s, arrival.returning)
+            limit_s = min(limiter.queue.max_wait_s, arrival.deadline - waits_from)
+            entered = await limiter.acquire(workspace, limit_s, arrival.returning)
             if isinstance(entered, Err):
                 return entered
-            admission = entered.ok_value
-            metrics.queue_time.labels(*labels).observe(admission.entered_at - waits_from)
-            arrival.on_first.append(admission.on_first)
-            arrival = replace(arrival, urgent=admission.urgent)
+            permit = entered.ok_value
+            metrics.queue_time.labels(*labels).observe(permit.acquired_at - waits_from)
+            arrival.on_first.append(permit.release_starting_slot)
+            arrival = replace(arrival, high_priority=permit.high_priority)
             try:
                 return await self._claimed(arrival, claim, work)
             finally:
-                admission.leave()
+                permit.release()
         finally:
             self.context.limits.release(workspace.id)
 
--- a/stairquay/entry/targets.py
+++ b/stairquay/entry/targets.py
@@ -170,7 +170,7 @@
 
     No identities go with it, so that nothing kept is used: which version runs is not known here.
     """
-    usable = context.usable(service)
+    usable = context.usable_endpoints(service)
     if not usable:
         return Err(Refusal(ErrorKind.NO_ENDPOINT, retry_after_s=NO_ENDPOINT_RETRY_S))
     wanted = [key for key in usable if key not in excluded] or usable
--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -122,7 +122,7 @@
         "answer",
         "cancelling a run whose caller is gone",
         "stairquay/entry/relay.py",
-        "async with context.side_session.delete(url, timeout=ClientTimeout(total=CANCEL_TIMEOUT_S)):",
+        "async with context.run_control_session.delete(url, timeout=ClientTimeout(total=CANCEL_TIMEOUT_S)):",
         "if True:",
         "A caller that goes away cancels its run",
     ),
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -7,15 +7,15 @@
 from stairquay.core.membership import Membership
 from stairquay.core.models import Box, BoxKind, BoxList, Workspace
 from stairquay.core.row import Row
-from stairquay.entry.context import Gate
+from stairquay.entry.context import ConcurrencyLimiter
 
 
 def test_a_slot_granted_in_the_moment_of_giving_up_is_used_and_not_lost():
     async def race():
-        gate = Gate(FairQueue(slots=1, max_wait_s=9.0))
-        first = (await gate.enter(Workspace("w"), 1.0)).unwrap()
+        gate = ConcurrencyLimiter(FairQueue(slots=1, max_wait_s=9.0))
+        first = (await gate.acquire(Workspace("w"), 1.0)).unwrap()
         loop = asyncio.get_running_loop()
-        waiting = asyncio.create_task(gate.enter(Workspace("w"), 0.05))
+        waiting = asyncio.create_task(gate.acquire(Workspace("w"), 0.05))
         await asyncio.sleep(0)
         due = loop.time() + 0.05
         loop.call_at(due - 0.0005, blocked_until, loop, due + 0.01, first)
@@ -25,7 +25,7 @@
 
     def blocked_until(loop, moment, admission):
         """Free the slot, and keep the loop busy until the time-out is due as well."""
-        admission.leave()
+        admission.release()
         while loop.time() < moment:
             pass
 
@@ -36,10 +36,10 @@
     """The time-out cancels what the request waits for before the request itself hears of it."""
 
     async def race():
-        gate = Gate(FairQueue(slots=1, max_wait_s=9.0))
-        first = (await gate.enter(Workspace("w"), 1.0)).unwrap()
+        gate = ConcurrencyLimiter(FairQueue(slots=1, max_wait_s=9.0))
+        first = (await gate.acquire(Workspace("w"), 1.0)).unwrap()
         loop = asyncio.get_running_loop()
-        waiting = asyncio.create_task(gate.enter(Workspace("w"), 0.05))
+        waiting = asyncio.create_task(gate.acquire(Workspace("w"), 0.05))
         await asyncio.sleep(0)
         due = loop.time() + 0.05
         failed = []
@@ -57,7 +57,7 @@
 
     def leave(admission, failed):
         try:
-            admission.leave()
+            admission.release()
         except asyncio.InvalidStateError as error:
             failed.append(error)
 
