--- a/stairquay/entry/plain.py
+++ b/stairquay/entry/plain.py
@@ -7,11 +7,11 @@
 
 from stairquay.core.errors import ErrorKind, Refusal
 from stairquay.core.models import Service, Workspace, allowed
-from stairquay.entry.attempts import Arrival, Work
+from stairquay.entry.attempts import AttemptSteps, IncomingRequest
 from stairquay.entry.bodies import read_body, stream_body
 from stairquay.entry.context import EntryContext
 from stairquay.entry.marks import KEY_HEADER, REPEATABLE_HEADER, TIMEOUT_HEADER, Marks
-from stairquay.entry.relay import OnFirst, end_to_end, plain_relay
+from stairquay.entry.relay import FirstByteCallback, end_to_end, plain_relay
 from stairquay.entry.targets import Target, plain_chooser
 from stairquay.entry.upstream import RUN_HEADER, Outgoing
 
@@ -60,20 +60,20 @@
     return Ok(stream_body(request, service.max_body_bytes, timeout_s))
 
 
-def plain_work(
+def plain_steps(
     context: EntryContext,
-    arrival: Arrival,
+    incoming: IncomingRequest,
     request: web.Request,
     body: bytes | AsyncIterator[bytes],
-    on_first: OnFirst,
-) -> Work:
+    on_first_byte: FirstByteCallback,
+) -> AttemptSteps:
     """Return how a plain call is run."""
     passed = {key: value for key, value in end_to_end(request).items() if key.lower() not in NOT_FORWARDED}
 
     def prepare(target: Target, run_id: str, _: bool) -> Outgoing:
-        headers = {**passed, RUN_HEADER: run_id, WORKSPACE_HEADER: arrival.workspace.id}
+        headers = {**passed, RUN_HEADER: run_id, WORKSPACE_HEADER: incoming.workspace.id}
         url = f"http://{target.address}{request.path_qs}"
         return Outgoing(request.method, url, headers, body or None, echoed=False)
 
-    relay = plain_relay(context, arrival, request, on_first)
-    return Work(plain_chooser(context, arrival.service), prepare, relay)
+    relay = plain_relay(context, incoming, request, on_first_byte)
+    return AttemptSteps(plain_chooser(context, incoming.service), prepare, relay)
--- a/stairquay/entry/prompts.py
+++ b/stairquay/entry/prompts.py
@@ -8,10 +8,10 @@
 from stairquay.core.errors import ErrorKind, Refusal
 from stairquay.core.identity import identify_prompt, workspace_key
 from stairquay.core.models import Service, ServiceKind, Workspace, allowed
-from stairquay.entry.attempts import Arrival, Work
+from stairquay.entry.attempts import AttemptSteps, IncomingRequest
 from stairquay.entry.callers import PromptRequest, engine_body
 from stairquay.entry.context import EntryContext
-from stairquay.entry.relay import OnFirst, cancel_run, engine_relay
+from stairquay.entry.relay import FirstByteCallback, cancel_run, engine_relay
 from stairquay.entry.targets import RouteClient, Target
 from stairquay.entry.upstream import RUN_HEADER, Outgoing
 
@@ -45,19 +45,19 @@
     return 2 * workspace.priority + high_priority
 
 
-def prompt_work(
+def prompt_steps(
     context: EntryContext,
     routes: RouteClient,
-    arrival: Arrival,
+    incoming: IncomingRequest,
     request: web.Request,
     prompt: PromptRequest,
-    on_first: OnFirst,
-) -> Work:
+    on_first_byte: FirstByteCallback,
+) -> AttemptSteps:
     """Return how a prompt is run."""
-    workspace = arrival.workspace
-    key = workspace_key(workspace.kept_secret, workspace.id, arrival.service.id)
+    workspace = incoming.workspace
+    key = workspace_key(workspace.kept_secret, workspace.id, incoming.service.id)
     described = identify_prompt(key, prompt.opening, prompt.text)
-    choose = routes.chooser(arrival.service, workspace, described, prompt.turn)
+    choose = routes.chooser(incoming.service, workspace, described, prompt.turn)
 
     def prepare(target: Target, run_id: str, high_priority: bool) -> Outgoing:
         headers = {
@@ -68,5 +68,5 @@
         body = engine_body(prompt, target.ids, target.version)
         return Outgoing("POST", f"http://{target.address}{request.path}", headers, body)
 
-    relay = engine_relay(context, arrival, request, prompt.stream, on_first)
-    return Work(choose, prepare, relay, partial(cancel_run, context))
+    relay = engine_relay(context, incoming, request, prompt.stream, on_first_byte)
+    return AttemptSteps(choose, prepare, relay, partial(cancel_run, context))
--- a/stairquay/entry/relay.py
+++ b/stairquay/entry/relay.py
@@ -15,7 +15,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.attempt import Attempt
 from stairquay.core.errors import ErrorKind, Refusal
-from stairquay.entry.attempts import Arrival, Begun, Relay
+from stairquay.entry.attempts import IncomingRequest, Relay, StartedAttempt
 from stairquay.entry.context import EntryContext
 from stairquay.entry.replies import REQUEST_ID_HEADER, error_event
 from stairquay.entry.targets import Target
@@ -42,7 +42,7 @@
     ]
 )
 
-OnFirst = Callable[[], None]
+FirstByteCallback = Callable[[], None]
 """Called once, when the first byte of an answer is about to go to the caller."""
 
 
@@ -73,48 +73,52 @@
     """
 
     def __init__(
-        self, context: EntryContext, arrival: Arrival, request: web.Request, on_first: OnFirst
+        self,
+        context: EntryContext,
+        incoming: IncomingRequest,
+        request: web.Request,
+        on_first_byte: FirstByteCallback,
     ) -> None:
         self.context = context
-        self.arrival = arrival
+        self.incoming = incoming
         self.request = request
-        self.on_first = on_first
+        self.on_first_byte = on_first_byte
         self.progress = Progress()
         self.answer: web.StreamResponse | None = None
 
-    async def stream(self, begun: Begun) -> Result[web.StreamResponse, Failure]:
+    async def stream(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
         """Pass a stream on as it comes."""
-        if begun.response.status != HTTP_OK:
-            return await self.whole(begun)
+        if started.response.status != HTTP_OK:
+            return await self.whole(started)
         try:
-            return await self._stream(begun)
+            return await self._stream(started)
         finally:
-            begun.response.close()
+            started.response.close()
 
-    async def whole(self, begun: Begun) -> Result[web.StreamResponse, Failure]:
+    async def whole(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
         """Read an answer to its end, then pass it on."""
         try:
-            return await self._whole(begun)
+            return await self._whole(started)
         finally:
-            begun.response.close()
+            started.response.close()
 
-    async def _stream(self, begun: Begun) -> Result[web.StreamResponse, Failure]:
-        source: ClientResponse | None = begun.response
+    async def _stream(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        source: ClientResponse | None = started.response
         while source is not None:
             before = self.progress.offset
-            await self._pump(source, begun)
+            await self._pump(source, started)
             source.close()
             if self.progress.tail == STREAM_END:
                 assert self.answer is not None
-                begun.attempt.finish()
+                started.attempt.finish()
                 await self.answer.write_eof()
                 return Ok(self.answer)
             # A source that gave nothing will give nothing again: its run has ended without an end.
-            moved = self.progress.offset > before or source is begun.response
-            source = await self._resume(begun) if moved else None
-        return await self._broken(begun)
+            moved = self.progress.offset > before or source is started.response
+            source = await self._resume(started) if moved else None
+        return await self._broken(started)
 
-    async def _pump(self, source: ClientResponse, begun: Begun) -> None:
+    async def _pump(self, source: ClientResponse, started: StartedAttempt) -> None:
         """Pass on what comes until the source ends, breaks or stalls.
 
         One timer watches both sides: a new one for every chunk would cost more than the chunk.
@@ -128,7 +132,7 @@
                     if not chunk:
                         return
                     if self.answer is None:
-                        self.answer = await self._begin(begun)
+                        self.answer = await self._begin(started)
                     self.progress.add(chunk)
                     writing = True
                     await self.answer.write(chunk)
@@ -140,15 +144,15 @@
     def _stalled_at(self) -> float:
         """Return the loop time until which something must have moved."""
         now = monotonic()
-        left_s = min(self.context.settings.stall_timeout_s, self.arrival.deadline - now)
-        return asyncio.get_running_loop().time() + left_s
+        remaining_s = min(self.context.settings.stall_timeout_s, self.incoming.deadline - now)
+        return asyncio.get_running_loop().time() + remaining_s
 
-    async def _whole(self, begun: Begun) -> Result[web.StreamResponse, Failure]:
+    async def _whole(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
         body = bytearray()
         stall_s = self.context.settings.stall_timeout_s
-        source: ClientResponse | None = begun.response
+        source: ClientResponse | None = started.response
         while source is not None:
-            chunk = await read_chunk(source, self.arrival.deadline, stall_s)
+            chunk = await read_chunk(source, self.incoming.deadline, stall_s)
             if chunk:
                 self.progress.add(chunk)
                 body += chunk
@@ -158,37 +162,37 @@
                 continue
             source.close()
             if _is_json(body):
-                begun.attempt.finish()
-                self.on_first()
-                return Ok(self._whole_answer(begun, bytes(body)))
-            source = await self._resume(begun) if chunk is None else None
-        begun.attempt.lose()
-        return Err(Failure(ErrorKind.ENDPOINT_GARBAGE, begun.attempt.ran, "the answer is not whole JSON"))
-
-    def _whole_answer(self, begun: Begun, body: bytes) -> web.Response:
+                started.attempt.finish()
+                self.on_first_byte()
+                return Ok(self._whole_answer(started, bytes(body)))
+            source = await self._resume(started) if chunk is None else None
+        started.attempt.lose()
+        return Err(Failure(ErrorKind.ENDPOINT_GARBAGE, started.attempt.ran, "the answer is not whole JSON"))
+
+    def _whole_answer(self, started: StartedAttempt, body: bytes) -> web.Response:
         return web.Response(
-            status=begun.response.status,
+            status=started.response.status,
             body=body,
-            headers=self._headers(begun.response.headers.get("Content-Type", "application/json")),
+            headers=self._headers(started.response.headers.get("Content-Type", "application/json")),
         )
 
-    async def _begin(self, begun: Begun) -> web.StreamResponse:
+    async def _begin(self, started: StartedAttempt) -> web.StreamResponse:
         answer = web.StreamResponse(headers=self._headers(EVENT_STREAM))
         answer.headers["Cache-Control"] = "no-cache"
         await answer.prepare(self.request)
-        self.on_first()
+        self.on_first_byte()
         return answer
 
     def _headers(self, content_type: str) -> dict[str, str]:
-        return {"Content-Type": content_type, REQUEST_ID_HEADER: self.arrival.request_id}
+        return {"Content-Type": content_type, REQUEST_ID_HEADER: self.incoming.request_id}
 
-    async def _resume(self, begun: Begun) -> ClientResponse | None:
+    async def _resume(self, started: StartedAttempt) -> ClientResponse | None:
         """Return the rest of the same run's answer from the exact offset, or None."""
         for number in range(RESUME_TRIES):
             await asyncio.sleep(RESUME_PAUSE_S * number)
-            if monotonic() >= self.arrival.deadline:
+            if monotonic() >= self.incoming.deadline:
                 return None
-            response = await self._ask_rest(begun.target, begun.attempt)
+            response = await self._ask_rest(started.target, started.attempt)
             if response is not None:
                 return response
         return None
@@ -196,7 +200,7 @@
     async def _ask_rest(self, target: Target, attempt: Attempt) -> ClientResponse | None:
         offset = str(self.progress.offset)
         url = f"http://{target.address}/runs/{attempt.run_id}/answer?from={offset}"
-        limit_s = min(self.context.settings.stall_timeout_s, self.arrival.deadline - monotonic())
+        limit_s = min(self.context.settings.stall_timeout_s, self.incoming.deadline - monotonic())
         try:
             async with asyncio.timeout(limit_s):
                 response = await self.context.run_control_session.get(url)
@@ -209,14 +213,14 @@
         response.close()
         return None
 
-    async def _broken(self, begun: Begun) -> Result[web.StreamResponse, Failure]:
-        begun.attempt.lose()
-        expired = monotonic() >= self.arrival.deadline
+    async def _broken(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        started.attempt.lose()
+        expired = monotonic() >= self.incoming.deadline
         kind = ErrorKind.DEADLINE if expired else ErrorKind.ENDPOINT_FAILED
-        refusal = Refusal(kind, begun.attempt.ran, "the answer broke off")
+        refusal = Refusal(kind, started.attempt.ran, "the answer broke off")
         if self.answer is not None:
             self.context.metrics.refusals.labels(kind.value, refusal.ran.value).inc()
-            await self._write_last(self.answer, error_event(refusal, self.arrival.request_id))
+            await self._write_last(self.answer, error_event(refusal, self.incoming.request_id))
         return Err(Failure(kind, refusal.ran, refusal.detail, answered=self.answer))
 
     async def _write_last(self, answer: web.StreamResponse, event: bytes) -> None:
@@ -240,35 +244,41 @@
 
 
 def engine_relay(
-    context: EntryContext, arrival: Arrival, request: web.Request, stream: bool, on_first: OnFirst
+    context: EntryContext,
+    incoming: IncomingRequest,
+    request: web.Request,
+    stream: bool,
+    on_first_byte: FirstByteCallback,
 ) -> Relay:
     """Return the relay for an engine's answers; each attempt starts from nothing."""
 
-    async def relay(begun: Begun) -> Result[web.StreamResponse, Failure]:
-        passing = EngineRelay(context, arrival, request, on_first)
-        return await (passing.stream(begun) if stream else passing.whole(begun))
+    async def relay(started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        passing = EngineRelay(context, incoming, request, on_first_byte)
+        return await (passing.stream(started) if stream else passing.whole(started))
 
     return relay
 
 
-def plain_relay(context: EntryContext, arrival: Arrival, request: web.Request, on_first: OnFirst) -> Relay:
+def plain_relay(
+    context: EntryContext, incoming: IncomingRequest, request: web.Request, on_first_byte: FirstByteCallback
+) -> Relay:
     """Return the relay for a plain service's answer, passed on as it comes."""
 
-    async def relay(begun: Begun) -> Result[web.StreamResponse, Failure]:
-        source = begun.response
+    async def relay(started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        source = started.response
         answer = web.StreamResponse(status=source.status, reason=source.reason, headers=end_to_end(source))
-        answer.headers[REQUEST_ID_HEADER] = arrival.request_id
+        answer.headers[REQUEST_ID_HEADER] = incoming.request_id
         try:
             await answer.prepare(request)
-            on_first()
+            on_first_byte()
             while True:
-                chunk = await read_chunk(source, arrival.deadline, context.settings.stall_timeout_s)
+                chunk = await read_chunk(source, incoming.deadline, context.settings.stall_timeout_s)
                 if not chunk:
                     break
                 await answer.write(chunk)
             if chunk is None:
-                return _cut(begun, request, answer)
-            begun.attempt.finish()
+                return _cut(started, request, answer)
+            started.attempt.finish()
             await answer.write_eof()
             return Ok(answer)
         finally:
@@ -277,12 +287,12 @@
     return relay
 
 
-def _cut(begun: Begun, request: web.Request, answer: web.StreamResponse) -> Err[Failure]:
+def _cut(started: StartedAttempt, request: web.Request, answer: web.StreamResponse) -> Err[Failure]:
     """Cut the caller's connection, so that a broken answer cannot be taken for a whole one."""
-    begun.attempt.lose()
+    started.attempt.lose()
     if request.transport is not None:
         request.transport.abort()
-    failure = Failure(ErrorKind.ENDPOINT_FAILED, begun.attempt.ran, "the answer broke off", answered=answer)
+    failure = Failure(ErrorKind.ENDPOINT_FAILED, started.attempt.ran, "the answer broke off", answered=answer)
     return Err(failure)
 
 
--- a/stairquay/entry/server.py
+++ b/stairquay/entry/server.py
@@ -13,14 +13,14 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.errors import ErrorKind, ExecutionStatus, Refusal
 from stairquay.core.models import Service, ServiceKind, Workspace, allowed
-from stairquay.entry.attempts import Arrival, Runner, Work
+from stairquay.entry.attempts import AttemptSteps, IncomingRequest, Runner
 from stairquay.entry.bodies import read_body
 from stairquay.entry.callers import CHAT_PATH, COMPLETIONS_PATH, parse_prompt
 from stairquay.entry.context import EntryContext
 from stairquay.entry.marks import Marks, Wanted, read_marks, wanted_claim
 from stairquay.entry.once import Claims, claim_key
-from stairquay.entry.plain import find_plain, plain_body, plain_work
-from stairquay.entry.prompts import find_model, largest_body, prompt_work
+from stairquay.entry.plain import find_plain, plain_body, plain_steps
+from stairquay.entry.prompts import find_model, largest_body, prompt_steps
 from stairquay.entry.replies import REQUEST_ID_HEADER, refusal_response
 from stairquay.entry.targets import RouteClient
 
@@ -106,12 +106,17 @@
         service = find_model(self.context, workspace, parsed.ok_value.model, len(raw.ok_value))
         if isinstance(service, Err):
             return service
-        arrival = _arrival(request_id, workspace, service.ok_value, marks, arrived_at)
-        arrival = replace(arrival, returning=parsed.ok_value.turn > 1)
-        work = prompt_work(
-            self.context, self.routes, arrival, request, parsed.ok_value, partial(self._on_first, arrival)
+        incoming = _incoming_request(request_id, workspace, service.ok_value, marks, arrived_at)
+        incoming = replace(incoming, returning=parsed.ok_value.turn > 1)
+        steps = prompt_steps(
+            self.context,
+            self.routes,
+            incoming,
+            request,
+            parsed.ok_value,
+            partial(self._on_first_byte, incoming),
         )
-        return await self._limited(arrival, wanted_claim(request, marks, raw.ok_value), work)
+        return await self._limited(incoming, wanted_claim(request, marks, raw.ok_value), steps)
 
     async def _plain(self, request: web.Request, request_id: str) -> Result[web.StreamResponse, Refusal]:
         arrived_at = monotonic()
@@ -127,10 +132,10 @@
         if isinstance(body, Err):
             return body
         held = body.ok_value
-        arrival = _arrival(request_id, workspace, service, marks, arrived_at)
-        arrival = replace(arrival, replayable=isinstance(held, bytes))
-        work = plain_work(self.context, arrival, request, held, partial(self._on_first, arrival))
-        return await self._limited(arrival, wanted_claim(request, marks, held), work)
+        incoming = _incoming_request(request_id, workspace, service, marks, arrived_at)
+        incoming = replace(incoming, replayable=isinstance(held, bytes))
+        steps = plain_steps(self.context, incoming, request, held, partial(self._on_first_byte, incoming))
+        return await self._limited(incoming, wanted_claim(request, marks, held), steps)
 
     def _admit(self, request: web.Request) -> Result[tuple[Workspace, Marks], Refusal]:
         """Check all that can be checked before a body is read."""
@@ -158,54 +163,54 @@
         return Ok(workspace)
 
     async def _limited(
-        self, arrival: Arrival, claim: Wanted | None, work: Work
+        self, incoming: IncomingRequest, claim: Wanted | None, steps: AttemptSteps
     ) -> Result[web.StreamResponse, Refusal]:
         """Run work within the workspace's limits and the service's slots."""
-        workspace = arrival.workspace
+        workspace = incoming.workspace
         metrics = self.context.metrics
-        labels = (metrics.labels.of(workspace.id), arrival.service.id)
+        labels = (metrics.labels.of(workspace.id), incoming.service.id)
         metrics.requests.labels(*labels).inc()
         refused = self.context.limits.admit(workspace, self.context.box_share(), monotonic())
         if refused is not None:
             return Err(refused)
         try:
-            limiter = self.context.limiter(arrival.service)
+            limiter = self.context.limiter(incoming.service)
             waits_from = monotonic()
-            limit_s = min(limiter.queue.max_wait_s, arrival.deadline - waits_from)
-            entered = await limiter.acquire(workspace, limit_s, arrival.returning)
+            limit_s = min(limiter.queue.max_wait_s, incoming.deadline - waits_from)
+            entered = await limiter.acquire(workspace, limit_s, incoming.returning)
             if isinstance(entered, Err):
                 return entered
             permit = entered.ok_value
             metrics.queue_time.labels(*labels).observe(permit.acquired_at - waits_from)
-            arrival.on_first.append(permit.release_starting_slot)
-            arrival = replace(arrival, high_priority=permit.high_priority)
+            incoming.first_byte_callbacks.append(permit.release_starting_slot)
+            incoming = replace(incoming, high_priority=permit.high_priority)
             try:
-                return await self._claimed(arrival, claim, work)
+                return await self._claimed(incoming, claim, steps)
             finally:
                 permit.release()
         finally:
             self.context.limits.release(workspace.id)
 
     async def _claimed(
-        self, arrival: Arrival, claim: Wanted | None, work: Work
+        self, incoming: IncomingRequest, claim: Wanted | None, steps: AttemptSteps
     ) -> Result[web.StreamResponse, Refusal]:
         """Run work, under a claim where the caller gave an idempotency key."""
         if claim is None:
-            return await self.runner.run(arrival, work)
-        key = claim_key(arrival.workspace.id, claim.key)
-        claimed = await self.claims.take(key, arrival.request_id, claim.body_hash)
+            return await self.runner.run(incoming, steps)
+        key = claim_key(incoming.workspace.id, claim.key)
+        claimed = await self.claims.take(key, incoming.request_id, claim.body_hash)
         if isinstance(claimed, Err):
             return claimed
-        outcome = await self.runner.run(arrival, work)
+        outcome = await self.runner.run(incoming, steps)
         if isinstance(outcome, Err) and outcome.err_value.ran == ExecutionStatus.NOT_RUN:
-            self.claims.release(key, arrival.request_id)
+            self.claims.release(key, incoming.request_id)
         return outcome
 
-    def _on_first(self, arrival: Arrival) -> None:
+    def _on_first_byte(self, incoming: IncomingRequest) -> None:
         metrics = self.context.metrics
-        labels = (metrics.labels.of(arrival.workspace.id), arrival.service.id)
-        metrics.first_token.labels(*labels).observe(monotonic() - arrival.arrived_at)
-        for call in arrival.on_first:
+        labels = (metrics.labels.of(incoming.workspace.id), incoming.service.id)
+        metrics.first_token.labels(*labels).observe(monotonic() - incoming.arrived_at)
+        for call in incoming.first_byte_callbacks:
             call()
 
     def _refuse(self, refusal: Refusal, request_id: str) -> web.Response:
@@ -218,15 +223,15 @@
     return "req-" + secrets.token_hex(12)
 
 
-def _arrival(
+def _incoming_request(
     request_id: str,
     workspace: Workspace,
     service: Service,
     marks: Marks,
     arrived_at: float,
-) -> Arrival:
+) -> IncomingRequest:
     limit_s = service.timeout_s if marks.timeout_s is None else min(marks.timeout_s, service.timeout_s)
-    return Arrival(
+    return IncomingRequest(
         request_id=request_id,
         workspace=workspace,
         service=service,
--- a/stairquay/entry/targets.py
+++ b/stairquay/entry/targets.py
@@ -36,14 +36,14 @@
 
 
 @dataclass(frozen=True)
-class Tried:
+class PriorAttempts:
     """What a request's earlier attempts taught: endpoints to use last, and versions that endpoints run."""
 
-    avoid: frozenset[str] = frozenset()
+    avoided: frozenset[str] = frozenset()
     versions: Mapping[str, str] = field(default_factory=dict)
 
 
-Chooser = Callable[[Tried, float], Awaitable[Result[Target, Refusal]]]
+Chooser = Callable[[PriorAttempts, float], Awaitable[Result[Target, Refusal]]]
 """Returns where to go, given earlier attempts and the monotonic deadline."""
 
 
@@ -74,7 +74,7 @@
     def chooser(self, service: Service, workspace: Workspace, prompt: Prompt, turn: int) -> Chooser:
         """Return a chooser for one prompt."""
 
-        async def choose(tried: Tried, deadline: float) -> Result[Target, Refusal]:
+        async def choose(prior: PriorAttempts, deadline: float) -> Result[Target, Refusal]:
             request = RouteRequest(
                 service=service.id,
                 workspace=workspace.id,
@@ -82,9 +82,9 @@
                 chain=prompt.chain,
                 tokens=prompt.tokens,
                 turn=turn,
-                excluded=sorted(tried.avoid),
+                excluded=sorted(prior.avoided),
                 import_wait_ms=int(self._import_wait_s(deadline) * 1000),
-                versions=tried.versions,
+                versions=prior.versions,
             )
             for address in self._owners(prompt.family):
                 reply = await self._ask(address, request, deadline)
@@ -92,7 +92,7 @@
                 if reply is not None:
                     return _target(reply, address, prompt)
             self.context.metrics.routes.labels("here").inc()
-            return choose_here(self.context, service, tried.avoid)
+            return choose_here(self.context, service, prior.avoided)
 
         return choose
 
@@ -185,7 +185,7 @@
 def plain_chooser(context: EntryContext, service: Service) -> Chooser:
     """Return a chooser for a plain service."""
 
-    async def choose(tried: Tried, _: float) -> Result[Target, Refusal]:
-        return choose_here(context, service, tried.avoid)
+    async def choose(prior: PriorAttempts, _: float) -> Result[Target, Refusal]:
+        return choose_here(context, service, prior.avoided)
 
     return choose
--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -170,7 +170,7 @@
         "once",
         "no retry of what may have run",
         "stairquay/entry/attempts.py",
-        "if not arrival.repeatable and failure.ran != ExecutionStatus.NOT_RUN:",
+        "if not incoming.repeatable and failure.ran != ExecutionStatus.NOT_RUN:",
         "if False:",
         "A POST call that may not repeat",
     ),
