--- a/stairquay/entry/plain.py
+++ b/stairquay/entry/plain.py
@@ -11,7 +11,7 @@
 from stairquay.entry.bodies import read_body, stream_body
 from stairquay.entry.context import EntryContext
 from stairquay.entry.marks import KEY_HEADER, REPEATABLE_HEADER, TIMEOUT_HEADER, Marks
-from stairquay.entry.relay import FirstByteCallback, end_to_end, plain_relay
+from stairquay.entry.relay import FirstByteCallback, end_to_end_headers, plain_relay
 from stairquay.entry.targets import Target, plain_chooser
 from stairquay.entry.upstream import RUN_HEADER, Outgoing
 
@@ -68,7 +68,9 @@
     on_first_byte: FirstByteCallback,
 ) -> AttemptSteps:
     """Return how a plain call is run."""
-    passed = {key: value for key, value in end_to_end(request).items() if key.lower() not in NOT_FORWARDED}
+    passed = {
+        key: value for key, value in end_to_end_headers(request).items() if key.lower() not in NOT_FORWARDED
+    }
 
     def prepare(target: Target, run_id: str, _: bool) -> Outgoing:
         headers = {**passed, RUN_HEADER: run_id, WORKSPACE_HEADER: incoming.workspace.id}
--- a/stairquay/entry/relay.py
+++ b/stairquay/entry/relay.py
@@ -24,8 +24,8 @@
 STREAM_END = b"data: [DONE]\n\n"
 EVENT_STREAM = "text/event-stream"
 HTTP_OK = 200
-RESUME_TRIES = 3
-RESUME_PAUSE_S = 0.05
+MAX_RESUME_ATTEMPTS = 3
+RESUME_RETRY_STEP_S = 0.05
 CANCEL_TIMEOUT_S = 2.0
 
 HOP_BY_HOP = frozenset(
@@ -46,11 +46,11 @@
 """Called once, when the first byte of an answer is about to go to the caller."""
 
 
-def end_to_end(message: web.Request | ClientResponse) -> dict[str, str]:
+def end_to_end_headers(message: web.Request | ClientResponse) -> dict[str, str]:
     """Return the headers that a proxy passes on."""
-    named = message.headers.get("Connection", "").lower().split(",")
-    dropped = HOP_BY_HOP | {name.strip() for name in named}
-    return {key: value for key, value in message.headers.items() if key.lower() not in dropped}
+    connection_headers = message.headers.get("Connection", "").lower().split(",")
+    hop_by_hop = HOP_BY_HOP | {name.strip() for name in connection_headers}
+    return {key: value for key, value in message.headers.items() if key.lower() not in hop_by_hop}
 
 
 @dataclass
@@ -84,75 +84,75 @@
         self.request = request
         self.on_first_byte = on_first_byte
         self.progress = Progress()
-        self.answer: web.StreamResponse | None = None
+        self.client_response: web.StreamResponse | None = None
 
-    async def stream(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+    async def relay_stream(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
         """Pass a stream on as it comes."""
         if started.response.status != HTTP_OK:
-            return await self.whole(started)
+            return await self.relay_buffered(started)
         try:
-            return await self._stream(started)
+            return await self._copy_with_resume(started)
         finally:
             started.response.close()
 
-    async def whole(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+    async def relay_buffered(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
         """Read an answer to its end, then pass it on."""
         try:
-            return await self._whole(started)
+            return await self._buffer_with_resume(started)
         finally:
             started.response.close()
 
-    async def _stream(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
-        source: ClientResponse | None = started.response
-        while source is not None:
-            before = self.progress.offset
-            await self._pump(source, started)
-            source.close()
+    async def _copy_with_resume(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        upstream: ClientResponse | None = started.response
+        while upstream is not None:
+            previous_offset = self.progress.offset
+            await self._copy_until_end(upstream, started)
+            upstream.close()
             if self.progress.tail == STREAM_END:
-                assert self.answer is not None
+                assert self.client_response is not None
                 started.attempt.finish()
-                await self.answer.write_eof()
-                return Ok(self.answer)
+                await self.client_response.write_eof()
+                return Ok(self.client_response)
             # A source that gave nothing will give nothing again: its run has ended without an end.
-            moved = self.progress.offset > before or source is started.response
-            source = await self._resume(started) if moved else None
-        return await self._broken(started)
+            progressed = self.progress.offset > previous_offset or upstream is started.response
+            upstream = await self._resume(started) if progressed else None
+        return await self._end_broken_stream(started)
 
-    async def _pump(self, source: ClientResponse, started: StartedAttempt) -> None:
+    async def _copy_until_end(self, upstream: ClientResponse, started: StartedAttempt) -> None:
         """Pass on what comes until the source ends, breaks or stalls.
 
         One timer watches both sides: a new one for every chunk would cost more than the chunk.
         """
         writing = False
         try:
-            async with asyncio.timeout(None) as limit:
+            async with asyncio.timeout(None) as stall_timer:
                 while True:
-                    limit.reschedule(self._stalled_at())
-                    chunk = await source.content.readany()
+                    stall_timer.reschedule(self._stall_deadline())
+                    chunk = await upstream.content.readany()
                     if not chunk:
                         return
-                    if self.answer is None:
-                        self.answer = await self._begin(started)
+                    if self.client_response is None:
+                        self.client_response = await self._start_response(started)
                     self.progress.add(chunk)
                     writing = True
-                    await self.answer.write(chunk)
+                    await self.client_response.write(chunk)
                     writing = False
         except (ClientError, TimeoutError) as error:
             if writing:
                 raise ConnectionResetError("the caller is gone or does not read") from error
 
-    def _stalled_at(self) -> float:
+    def _stall_deadline(self) -> float:
         """Return the loop time until which something must have moved."""
         now = monotonic()
         remaining_s = min(self.context.settings.stall_timeout_s, self.incoming.deadline - now)
         return asyncio.get_running_loop().time() + remaining_s
 
-    async def _whole(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+    async def _buffer_with_resume(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
         body = bytearray()
-        stall_s = self.context.settings.stall_timeout_s
-        source: ClientResponse | None = started.response
-        while source is not None:
-            chunk = await read_chunk(source, self.incoming.deadline, stall_s)
+        stall_timeout_s = self.context.settings.stall_timeout_s
+        upstream: ClientResponse | None = started.response
+        while upstream is not None:
+            chunk = await read_chunk(upstream, self.incoming.deadline, stall_timeout_s)
             if chunk:
                 self.progress.add(chunk)
                 body += chunk
@@ -160,75 +160,77 @@
                 break
             if chunk:
                 continue
-            source.close()
+            upstream.close()
             if _is_json(body):
                 started.attempt.finish()
                 self.on_first_byte()
-                return Ok(self._whole_answer(started, bytes(body)))
-            source = await self._resume(started) if chunk is None else None
+                return Ok(self._buffered_response(started, bytes(body)))
+            upstream = await self._resume(started) if chunk is None else None
         started.attempt.lose()
         return Err(Failure(ErrorKind.ENDPOINT_GARBAGE, started.attempt.ran, "the answer is not whole JSON"))
 
-    def _whole_answer(self, started: StartedAttempt, body: bytes) -> web.Response:
+    def _buffered_response(self, started: StartedAttempt, body: bytes) -> web.Response:
         return web.Response(
             status=started.response.status,
             body=body,
             headers=self._headers(started.response.headers.get("Content-Type", "application/json")),
         )
 
-    async def _begin(self, started: StartedAttempt) -> web.StreamResponse:
-        answer = web.StreamResponse(headers=self._headers(EVENT_STREAM))
-        answer.headers["Cache-Control"] = "no-cache"
-        await answer.prepare(self.request)
+    async def _start_response(self, started: StartedAttempt) -> web.StreamResponse:
+        client_response = web.StreamResponse(headers=self._headers(EVENT_STREAM))
+        client_response.headers["Cache-Control"] = "no-cache"
+        await client_response.prepare(self.request)
         self.on_first_byte()
-        return answer
+        return client_response
 
     def _headers(self, content_type: str) -> dict[str, str]:
         return {"Content-Type": content_type, REQUEST_ID_HEADER: self.incoming.request_id}
 
     async def _resume(self, started: StartedAttempt) -> ClientResponse | None:
         """Return the rest of the same run's answer from the exact offset, or None."""
-        for number in range(RESUME_TRIES):
-            await asyncio.sleep(RESUME_PAUSE_S * number)
+        for number in range(MAX_RESUME_ATTEMPTS):
+            await asyncio.sleep(RESUME_RETRY_STEP_S * number)
             if monotonic() >= self.incoming.deadline:
                 return None
-            response = await self._ask_rest(started.target, started.attempt)
+            response = await self._request_remainder(started.target, started.attempt)
             if response is not None:
                 return response
         return None
 
-    async def _ask_rest(self, target: Target, attempt: Attempt) -> ClientResponse | None:
+    async def _request_remainder(self, target: Target, attempt: Attempt) -> ClientResponse | None:
         offset = str(self.progress.offset)
         url = f"http://{target.address}/runs/{attempt.run_id}/answer?from={offset}"
-        limit_s = min(self.context.settings.stall_timeout_s, self.incoming.deadline - monotonic())
+        timeout_s = min(self.context.settings.stall_timeout_s, self.incoming.deadline - monotonic())
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 response = await self.context.run_control_session.get(url)
         except (ClientError, TimeoutError):
             return None
         same_run = response.headers.get(RUN_HEADER) == attempt.run_id
-        same_place = response.headers.get(OFFSET_HEADER) == offset
-        if response.status == HTTP_OK and same_run and same_place:
+        same_offset = response.headers.get(OFFSET_HEADER) == offset
+        if response.status == HTTP_OK and same_run and same_offset:
             return response
         response.close()
         return None
 
-    async def _broken(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+    async def _end_broken_stream(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
         started.attempt.lose()
         expired = monotonic() >= self.incoming.deadline
         kind = ErrorKind.DEADLINE if expired else ErrorKind.ENDPOINT_FAILED
         refusal = Refusal(kind, started.attempt.ran, "the answer broke off")
-        if self.answer is not None:
+        if self.client_response is not None:
             self.context.metrics.refusals.labels(kind.value, refusal.ran.value).inc()
-            await self._write_last(self.answer, error_event(refusal, self.incoming.request_id))
-        return Err(Failure(kind, refusal.ran, refusal.detail, answered=self.answer))
+            await self._write_error_event(
+                self.client_response, error_event(refusal, self.incoming.request_id)
+            )
+        return Err(Failure(kind, refusal.ran, refusal.detail, answered=self.client_response))
 
-    async def _write_last(self, answer: web.StreamResponse, event: bytes) -> None:
+    async def _write_error_event(self, client_response: web.StreamResponse, event: bytes) -> None:
         """End a broken stream; a caller that does not read is taken to be gone."""
         try:
             async with asyncio.timeout(self.context.settings.stall_timeout_s):
-                await answer.write(event)
-                await answer.write_eof()
+                await client_response.write(event)
+                await client_response.write_eof()
         except TimeoutError as error:
             raise ConnectionResetError("the caller does not read") from error
 
@@ -253,8 +255,10 @@
     """Return the relay for an engine's answers; each attempt starts from nothing."""
 
     async def relay(started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
-        passing = EngineRelay(context, incoming, request, on_first_byte)
-        return await (passing.stream(started) if stream else passing.whole(started))
+        response_relay = EngineRelay(context, incoming, request, on_first_byte)
+        return await (
+            response_relay.relay_stream(started) if stream else response_relay.relay_buffered(started)
+        )
 
     return relay
 
@@ -265,43 +269,49 @@
     """Return the relay for a plain service's answer, passed on as it comes."""
 
     async def relay(started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
-        source = started.response
-        answer = web.StreamResponse(status=source.status, reason=source.reason, headers=end_to_end(source))
-        answer.headers[REQUEST_ID_HEADER] = incoming.request_id
+        upstream = started.response
+        client_response = web.StreamResponse(
+            status=upstream.status, reason=upstream.reason, headers=end_to_end_headers(upstream)
+        )
+        client_response.headers[REQUEST_ID_HEADER] = incoming.request_id
         try:
-            await answer.prepare(request)
+            await client_response.prepare(request)
             on_first_byte()
             while True:
-                chunk = await read_chunk(source, incoming.deadline, context.settings.stall_timeout_s)
+                chunk = await read_chunk(upstream, incoming.deadline, context.settings.stall_timeout_s)
                 if not chunk:
                     break
-                await answer.write(chunk)
+                await client_response.write(chunk)
             if chunk is None:
-                return _cut(started, request, answer)
+                return _abort_connection(started, request, client_response)
             started.attempt.finish()
-            await answer.write_eof()
-            return Ok(answer)
+            await client_response.write_eof()
+            return Ok(client_response)
         finally:
-            source.close()
+            upstream.close()
 
     return relay
 
 
-def _cut(started: StartedAttempt, request: web.Request, answer: web.StreamResponse) -> Err[Failure]:
+def _abort_connection(
+    started: StartedAttempt, request: web.Request, client_response: web.StreamResponse
+) -> Err[Failure]:
     """Cut the caller's connection, so that a broken answer cannot be taken for a whole one."""
     started.attempt.lose()
     if request.transport is not None:
         request.transport.abort()
-    failure = Failure(ErrorKind.ENDPOINT_FAILED, started.attempt.ran, "the answer broke off", answered=answer)
+    failure = Failure(
+        ErrorKind.ENDPOINT_FAILED, started.attempt.ran, "the answer broke off", answered=client_response
+    )
     return Err(failure)
 
 
-async def read_chunk(source: ClientResponse, deadline: float, stall_s: float) -> bytes | None:
+async def read_chunk(upstream: ClientResponse, deadline: float, stall_timeout_s: float) -> bytes | None:
     """Return what is buffered, empty at the end, None where the answer broke or stalled."""
-    limit_s = min(stall_s, deadline - monotonic())
+    timeout_s = min(stall_timeout_s, deadline - monotonic())
     try:
-        async with asyncio.timeout(limit_s):
-            return await source.content.readany()
+        async with asyncio.timeout(timeout_s):
+            return await upstream.content.readany()
     except (ClientError, TimeoutError):
         return None
 
