--- a/stairquay/entry/attempts.py
+++ b/stairquay/entry/attempts.py
@@ -26,9 +26,9 @@
     CACHED_TOKENS_HEADER,
     PROMPT_TOKENS_HEADER,
     Failure,
-    Outgoing,
-    count_header,
+    OutgoingRequest,
     open_response,
+    parse_count_header,
 )
 
 
@@ -76,7 +76,7 @@
     """How to run a request: where, as what, how its answer is passed on, and how it is given up."""
 
     choose: Chooser
-    prepare: Callable[[Target, str, bool], Outgoing]
+    prepare: Callable[[Target, str, bool], OutgoingRequest]
     relay: Relay
     cancel: Cancel | None = None
 
@@ -112,8 +112,8 @@
             if isinstance(outcome, Ok):
                 return outcome
             failure = outcome.err_value
-            if failure.answered is not None:
-                return Ok(failure.answered)
+            if failure.partial_response is not None:
+                return Ok(failure.partial_response)
             ran = worst(ran, failure.ran)
             prior = _add_failure(prior, chosen.ok_value.endpoint, failure)
             if not self._may_retry(incoming, failure, number):
@@ -132,7 +132,7 @@
             outcome = await self._exchange(incoming, steps, target, attempt, usage)
             failed = isinstance(outcome, Err)
             if failed and attempt.ran == ExecutionStatus.UNKNOWN and steps.cancel is not None:
-                self.routes.background(steps.cancel(target, attempt.run_id))
+                self.routes.run_in_background(steps.cancel(target, attempt.run_id))
             self._record_outcome(incoming, target, outcome, usage)
             return outcome
         finally:
@@ -156,13 +156,13 @@
             # The caller is gone; failures of the endpoint come back as results.
             self.routes.report(target, RUN_OUTCOME_FAILED)
             if steps.cancel is not None:
-                self.routes.background(steps.cancel(target, attempt.run_id))
+                self.routes.run_in_background(steps.cancel(target, attempt.run_id))
             raise
 
     def _count_tokens(self, incoming: IncomingRequest, response: ClientResponse, usage: Usage) -> None:
         """Take in what an answer's head says of its prompt."""
-        usage.prompt_tokens = count_header(response, PROMPT_TOKENS_HEADER)
-        usage.cached_tokens = count_header(response, CACHED_TOKENS_HEADER)
+        usage.prompt_tokens = parse_count_header(response, PROMPT_TOKENS_HEADER)
+        usage.cached_tokens = parse_count_header(response, CACHED_TOKENS_HEADER)
         if not usage.prompt_tokens:
             return
         metrics = self.context.metrics
@@ -192,7 +192,7 @@
             self.routes.report(target, RUN_OUTCOME_WRONG_VERSION, version=failure.version)
         else:
             self.routes.report(target, RUN_OUTCOME_FAILED)
-        if failure.fault and ejector.on_failure(
+        if failure.endpoint_fault and ejector.on_failure(
             target.endpoint, monotonic(), len(incoming.service.endpoints)
         ):
             self.context.metrics.ejected.labels(incoming.service.id).inc()
@@ -216,10 +216,10 @@
             return False
         if failure.kind == ErrorKind.DEADLINE or monotonic() >= incoming.deadline:
             return False
-        return not failure.fault or self.context.retry_budget(incoming.service.id).take()
+        return not failure.endpoint_fault or self.context.retry_budget(incoming.service.id).take()
 
     def _retry_delay_s(self, incoming: IncomingRequest, failure: Failure, number: int) -> float:
-        if not failure.fault:
+        if not failure.endpoint_fault:
             return 0.0
         remaining_s = max(0.0, incoming.deadline - monotonic())
         return min(remaining_s, backoff_s(number, self.context.random.random()))
--- a/stairquay/entry/plain.py
+++ b/stairquay/entry/plain.py
@@ -13,7 +13,7 @@
 from stairquay.entry.marks import KEY_HEADER, REPEATABLE_HEADER, TIMEOUT_HEADER, Marks
 from stairquay.entry.relay import FirstByteCallback, end_to_end_headers, plain_relay
 from stairquay.entry.targets import Target, plain_chooser
-from stairquay.entry.upstream import RUN_HEADER, Outgoing
+from stairquay.entry.upstream import RUN_ID_HEADER, OutgoingRequest
 
 REPLAY_BYTES = 65_536
 """A plain request's body up to this size is held, so that another endpoint can be tried."""
@@ -29,7 +29,7 @@
         KEY_HEADER,
         REPEATABLE_HEADER,
         TIMEOUT_HEADER,
-        RUN_HEADER,
+        RUN_ID_HEADER,
         WORKSPACE_HEADER,
     )
 )
@@ -72,10 +72,10 @@
         key: value for key, value in end_to_end_headers(request).items() if key.lower() not in NOT_FORWARDED
     }
 
-    def prepare(target: Target, run_id: str, _: bool) -> Outgoing:
-        headers = {**passed, RUN_HEADER: run_id, WORKSPACE_HEADER: incoming.workspace.id}
+    def prepare(target: Target, run_id: str, _: bool) -> OutgoingRequest:
+        headers = {**passed, RUN_ID_HEADER: run_id, WORKSPACE_HEADER: incoming.workspace.id}
         url = f"http://{target.address}{request.path_qs}"
-        return Outgoing(request.method, url, headers, body or None, echoed=False)
+        return OutgoingRequest(request.method, url, headers, body or None, verify_run_id=False)
 
     relay = plain_relay(context, incoming, request, on_first_byte)
     return AttemptSteps(plain_chooser(context, incoming.service), prepare, relay)
--- a/stairquay/entry/prompts.py
+++ b/stairquay/entry/prompts.py
@@ -13,7 +13,7 @@
 from stairquay.entry.context import EntryContext
 from stairquay.entry.relay import FirstByteCallback, cancel_run, engine_relay
 from stairquay.entry.targets import RouteClient, Target
-from stairquay.entry.upstream import RUN_HEADER, Outgoing
+from stairquay.entry.upstream import RUN_ID_HEADER, OutgoingRequest
 
 PRIORITY_HEADER = "X-Priority"
 
@@ -59,14 +59,14 @@
     described = identify_prompt(key, prompt.opening, prompt.text)
     choose = routes.chooser(incoming.service, workspace, described, prompt.turn)
 
-    def prepare(target: Target, run_id: str, high_priority: bool) -> Outgoing:
+    def prepare(target: Target, run_id: str, high_priority: bool) -> OutgoingRequest:
         headers = {
             "Content-Type": "application/json",
-            RUN_HEADER: run_id,
+            RUN_ID_HEADER: run_id,
             PRIORITY_HEADER: str(engine_priority(workspace, high_priority)),
         }
         body = engine_body(prompt, target.ids, target.version)
-        return Outgoing("POST", f"http://{target.address}{request.path}", headers, body)
+        return OutgoingRequest("POST", f"http://{target.address}{request.path}", headers, body)
 
     relay = engine_relay(context, incoming, request, prompt.stream, on_first_byte)
     return AttemptSteps(choose, prepare, relay, partial(cancel_run, context))
--- a/stairquay/entry/relay.py
+++ b/stairquay/entry/relay.py
@@ -19,7 +19,7 @@
 from stairquay.entry.context import EntryContext
 from stairquay.entry.replies import REQUEST_ID_HEADER, error_event
 from stairquay.entry.targets import Target
-from stairquay.entry.upstream import OFFSET_HEADER, RUN_HEADER, Failure
+from stairquay.entry.upstream import OFFSET_HEADER, RUN_ID_HEADER, Failure
 
 STREAM_END = b"data: [DONE]\n\n"
 EVENT_STREAM = "text/event-stream"
@@ -206,7 +206,7 @@
                 response = await self.context.run_control_session.get(url)
         except (ClientError, TimeoutError):
             return None
-        same_run = response.headers.get(RUN_HEADER) == attempt.run_id
+        same_run = response.headers.get(RUN_ID_HEADER) == attempt.run_id
         same_offset = response.headers.get(OFFSET_HEADER) == offset
         if response.status == HTTP_OK and same_run and same_offset:
             return response
@@ -223,7 +223,7 @@
             await self._write_error_event(
                 self.client_response, error_event(refusal, self.incoming.request_id)
             )
-        return Err(Failure(kind, refusal.ran, refusal.detail, answered=self.client_response))
+        return Err(Failure(kind, refusal.ran, refusal.detail, partial_response=self.client_response))
 
     async def _write_error_event(self, client_response: web.StreamResponse, event: bytes) -> None:
         """End a broken stream; a caller that does not read is taken to be gone."""
@@ -301,7 +301,10 @@
     if request.transport is not None:
         request.transport.abort()
     failure = Failure(
-        ErrorKind.ENDPOINT_FAILED, started.attempt.ran, "the answer broke off", answered=client_response
+        ErrorKind.ENDPOINT_FAILED,
+        started.attempt.ran,
+        "the answer broke off",
+        partial_response=client_response,
     )
     return Err(failure)
 
--- a/stairquay/entry/targets.py
+++ b/stairquay/entry/targets.py
@@ -19,7 +19,7 @@
 SUSPECT_S = 2.0
 """Seconds for which a router that did not answer is tried last."""
 
-NO_ENDPOINT_RETRY_S = 1.0
+NO_ENDPOINT_RETRY_AFTER_S = 1.0
 REPORT_TIMEOUT_S = 1.0
 
 
@@ -51,16 +51,16 @@
 class Suspects:
     """Routers that did not answer, by address, and until when they are tried last."""
 
-    until: dict[str, float] = field(default_factory=dict)
+    suspected_until: dict[str, float] = field(default_factory=dict)
 
     def add(self, address: str) -> None:
         """Suspect a router for a while."""
-        self.until[address] = monotonic() + SUSPECT_S
+        self.suspected_until[address] = monotonic() + SUSPECT_S
 
     def order(self, addresses: list[str]) -> list[str]:
         """Return the addresses, suspected ones last, otherwise in their order."""
         now = monotonic()
-        return sorted(addresses, key=lambda address: self.until.get(address, 0.0) > now)
+        return sorted(addresses, key=lambda address: self.suspected_until.get(address, 0.0) > now)
 
 
 class RouteClient:
@@ -86,18 +86,23 @@
                 import_wait_ms=int(self._import_wait_s(deadline) * 1000),
                 versions=prior.versions,
             )
-            for address in self._owners(prompt.family):
-                reply = await self._ask(address, request, deadline)
+            for address in self._ranked_routers(prompt.family):
+                reply = await self._request_route(address, request, deadline)
                 self.context.metrics.routes.labels("silent" if reply is None else "router").inc()
                 if reply is not None:
-                    return _target(reply, address, prompt)
+                    return _target_from_reply(reply, address, prompt)
             self.context.metrics.routes.labels("here").inc()
-            return choose_here(self.context, service, prior.avoided)
+            return choose_locally(self.context, service, prior.avoided)
 
         return choose
 
     def report(
-        self, target: Target, outcome: RunOutcome, prompt_tokens: int = 0, cached: int = 0, version: str = ""
+        self,
+        target: Target,
+        outcome: RunOutcome,
+        prompt_tokens: int = 0,
+        cached_tokens: int = 0,
+        version: str = "",
     ) -> None:
         """Tell the router that decided what became of the run, without waiting for it."""
         if not target.ticket:
@@ -106,25 +111,25 @@
             ticket=target.ticket,
             outcome=outcome,
             prompt_tokens=prompt_tokens,
-            cached_tokens=cached,
+            cached_tokens=cached_tokens,
             version=version,
         )
-        self.background(self._send_report(target.router, request))
+        self.run_in_background(self._send_report(target.router, request))
 
-    def background(self, work: Coroutine[Any, Any, None]) -> None:
+    def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run work for which no caller waits."""
-        task = asyncio.create_task(work)
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _owners(self, family: bytes) -> list[str]:
+    def _ranked_routers(self, family: bytes) -> list[str]:
         routers = self.context.view.live_routers()
         return self.suspects.order([routers[key] for key in ranked(family, routers)])
 
     def _import_wait_s(self, deadline: float) -> float:
         return max(0.0, min(self.context.settings.import_wait_s, deadline - monotonic()))
 
-    async def _ask(self, address: str, request: RouteRequest, deadline: float) -> RouteReply | None:
+    async def _request_route(self, address: str, request: RouteRequest, deadline: float) -> RouteReply | None:
         """Return a router's decision, once its import is over; None where it does not answer."""
         call = self.context.channels.stub(address).Route(request)
         try:
@@ -137,10 +142,10 @@
         if reply is grpc.aio.EOF:
             return None
         if not reply.ready:
-            await self._wait_ready(call, address, deadline)
+            await self._wait_for_import(call, address, deadline)
         return reply
 
-    async def _wait_ready(self, call: grpc.aio.UnaryStreamCall, address: str, deadline: float) -> None:
+    async def _wait_for_import(self, call: grpc.aio.UnaryStreamCall, address: str, deadline: float) -> None:
         """Wait for the import; where the router falls silent, the run goes on and recomputes."""
         try:
             async with asyncio.timeout(self._import_wait_s(deadline)):
@@ -156,14 +161,16 @@
             self.suspects.add(address)
 
 
-def _target(reply: RouteReply, router: str, prompt: Prompt) -> Result[Target, Refusal]:
+def _target_from_reply(reply: RouteReply, router: str, prompt: Prompt) -> Result[Target, Refusal]:
     if not reply.ticket:
         return Err(Refusal(ErrorKind.NO_ENDPOINT, retry_after_s=reply.retry_after_s))
     ids = block_ids(prompt.chain, reply.version)
     return Ok(Target(reply.endpoint, reply.address, reply.version, ids, router, reply.ticket))
 
 
-def choose_here(context: EntryContext, service: Service, excluded: frozenset[str]) -> Result[Target, Refusal]:
+def choose_locally(
+    context: EntryContext, service: Service, excluded: frozenset[str]
+) -> Result[Target, Refusal]:
     """Return the less loaded of two endpoints drawn by chance, by this entry's own runs.
 
     Of two alike, one in the box's own data hall goes first.
@@ -172,12 +179,12 @@
     """
     usable = context.usable_endpoints(service)
     if not usable:
-        return Err(Refusal(ErrorKind.NO_ENDPOINT, retry_after_s=NO_ENDPOINT_RETRY_S))
-    wanted = [key for key in usable if key not in excluded] or usable
-    drawn = context.random.sample(wanted, min(2, len(wanted)))
+        return Err(Refusal(ErrorKind.NO_ENDPOINT, retry_after_s=NO_ENDPOINT_RETRY_AFTER_S))
+    candidates = [key for key in usable if key not in excluded] or usable
+    sampled = context.random.sample(candidates, min(2, len(candidates)))
     boxes = context.view.membership.boxes.by_id
     best = min(
-        drawn, key=lambda key: (context.runs_by_endpoint[key], boxes[key].data_hall != context.data_hall)
+        sampled, key=lambda key: (context.runs_by_endpoint[key], boxes[key].data_hall != context.data_hall)
     )
     return Ok(Target(best, boxes[best].addresses["http"]))
 
@@ -186,6 +193,6 @@
     """Return a chooser for a plain service."""
 
     async def choose(prior: PriorAttempts, _: float) -> Result[Target, Refusal]:
-        return choose_here(context, service, prior.avoided)
+        return choose_locally(context, service, prior.avoided)
 
     return choose
--- a/stairquay/entry/upstream.py
+++ b/stairquay/entry/upstream.py
@@ -26,7 +26,7 @@
 from stairquay.core.attempt import Attempt, AttemptState
 from stairquay.core.errors import ErrorKind, ExecutionStatus
 
-RUN_HEADER = "X-Request-Id"
+RUN_ID_HEADER = "X-Request-Id"
 NOT_RUN_HEADER = "X-Not-Run"
 LEAVING_HEADER = "X-Leaving"
 VERSION_HEADER = "X-Weight-Version"
@@ -35,23 +35,23 @@
 OFFSET_HEADER = "X-Stream-Offset"
 
 TRUE = "true"
-SERVER_ERROR = 500
+MIN_SERVER_ERROR = 500
 MAX_HEADER_BYTES = 32_768
 
 
-class Resent(ClientError):
+class DuplicateSendError(ClientError):
     """Raised in place of a second send of the same attempt."""
 
 
 @dataclass(frozen=True)
-class Outgoing:
+class OutgoingRequest:
     """A request as it goes to an endpoint. `echoed`: the answer must carry the run's id."""
 
     method: str
     url: str
     headers: dict[str, str]
     body: bytes | AsyncIterator[bytes] | None = field(repr=False)
-    echoed: bool = True
+    verify_run_id: bool = True
 
 
 @dataclass(frozen=True)
@@ -66,10 +66,10 @@
     kind: ErrorKind
     ran: ExecutionStatus
     detail: str = ""
-    fault: bool = True
+    endpoint_fault: bool = True
     leaving: bool = False
     version: str = ""
-    answered: web.StreamResponse | None = None
+    partial_response: web.StreamResponse | None = None
 
 
 def open_session(connect_timeout_s: float, reuse: bool) -> ClientSession:
@@ -95,17 +95,21 @@
 async def _on_connected(_: ClientSession, trace_context: object, __: object) -> None:
     attempt: Attempt = trace_context.trace_request_ctx  # type: ignore[attr-defined]
     if attempt.state != AttemptState.PLANNED:
-        raise Resent("an attempt is sent once only")
+        raise DuplicateSendError("an attempt is sent once only")
     attempt.send()
 
 
 async def open_response(
-    session: ClientSession, outgoing: Outgoing, attempt: Attempt, deadline: float, first_byte_s: float
+    session: ClientSession,
+    outgoing: OutgoingRequest,
+    attempt: Attempt,
+    deadline: float,
+    first_byte_timeout_s: float,
 ) -> Result[ClientResponse, Failure]:
     """Send an attempt and return the answer's head, or why there is none."""
-    limit_s = min(deadline - monotonic(), first_byte_s)
+    timeout_s = min(deadline - monotonic(), first_byte_timeout_s)
     try:
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(timeout_s):
             response = await session.request(
                 outgoing.method,
                 outgoing.url,
@@ -115,34 +119,36 @@
                 trace_request_ctx=attempt,
             )
     except TimeoutError:
-        return Err(_lost(attempt, _timeout_kind(deadline), "no answer in time"))
+        return Err(_fail_attempt(attempt, _timeout_kind(deadline), "no answer in time"))
     except (ClientConnectorError, ConnectionTimeoutError):
-        return Err(_lost(attempt, ErrorKind.ENDPOINT_FAILED, "no connection"))
+        return Err(_fail_attempt(attempt, ErrorKind.ENDPOINT_FAILED, "no connection"))
     except (ClientError, ValueError) as error:
-        return Err(_lost(attempt, ErrorKind.ENDPOINT_FAILED, type(error).__name__))
-    return _judge(response, attempt, outgoing.echoed)
+        return Err(_fail_attempt(attempt, ErrorKind.ENDPOINT_FAILED, type(error).__name__))
+    return _classify_response(response, attempt, outgoing.verify_run_id)
 
 
 def _timeout_kind(deadline: float) -> ErrorKind:
     return ErrorKind.DEADLINE if monotonic() >= deadline else ErrorKind.ENDPOINT_FAILED
 
 
-def _lost(attempt: Attempt, kind: ErrorKind, detail: str) -> Failure:
+def _fail_attempt(attempt: Attempt, kind: ErrorKind, detail: str) -> Failure:
     attempt.lose()
     return Failure(kind, attempt.ran, detail)
 
 
-def _judge(response: ClientResponse, attempt: Attempt, echoed: bool) -> Result[ClientResponse, Failure]:
+def _classify_response(
+    response: ClientResponse, attempt: Attempt, verify_run_id: bool
+) -> Result[ClientResponse, Failure]:
     """Return the response if it is an answer to this attempt."""
-    if echoed and response.headers.get(RUN_HEADER, attempt.run_id) != attempt.run_id:
+    if verify_run_id and response.headers.get(RUN_ID_HEADER, attempt.run_id) != attempt.run_id:
         response.close()
         attempt.lose()
         return Err(Failure(ErrorKind.ENDPOINT_GARBAGE, attempt.ran, "an answer to another request"))
     if response.headers.get(NOT_RUN_HEADER) == TRUE:
         response.close()
         attempt.refuse()
-        return Err(_refused(response))
-    if response.status >= SERVER_ERROR:
+        return Err(_refusal_failure(response))
+    if response.status >= MIN_SERVER_ERROR:
         response.close()
         attempt.lose()
         return Err(Failure(ErrorKind.ENDPOINT_FAILED, attempt.ran, f"status {response.status}"))
@@ -150,20 +156,20 @@
     return Ok(response)
 
 
-def _refused(response: ClientResponse) -> Failure:
+def _refusal_failure(response: ClientResponse) -> Failure:
     leaving = response.headers.get(LEAVING_HEADER) == TRUE
     version = response.headers.get(VERSION_HEADER, "")
     return Failure(
         ErrorKind.ENDPOINT_REFUSED,
         ExecutionStatus.NOT_RUN,
         "the endpoint is leaving" if leaving else "the endpoint refused",
-        fault=False,
+        endpoint_fault=False,
         leaving=leaving,
         version=version,
     )
 
 
-def count_header(response: ClientResponse, name: str) -> int:
+def parse_count_header(response: ClientResponse, name: str) -> int:
     """Return a count from a header, 0 where it is missing or no number."""
     text = response.headers.get(name, "")
     return int(text) if text.isdecimal() else 0
