--- a/bench/cost.py
+++ b/bench/cost.py
@@ -256,7 +256,7 @@
             began = time.monotonic()
             outcomes = await asyncio.gather(
                 *(
-                    taken.take(f"once/w/{batch}-{number}", f"r{batch}-{number}", "h")
+                    taken.acquire(f"once/w/{batch}-{number}", f"r{batch}-{number}", "h")
                     for number in range(count)
                 )
             )
--- a/stairquay/entry/callers.py
+++ b/stairquay/entry/callers.py
@@ -33,18 +33,18 @@
     try:
         body = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        return _bad(f"the body is not JSON ({type(error).__name__})")
+        return _bad_request(f"the body is not JSON ({type(error).__name__})")
     if not isinstance(body, dict):
-        return _bad("the body must be an object")
+        return _bad_request("the body must be an object")
     model = body.get("model")
     if not isinstance(model, str) or not model:
-        return _bad("`model` must be a string")
+        return _bad_request("`model` must be a string")
     if not isinstance(body.get("stream", False), bool):
-        return _bad("`stream` must be true or false")
-    parts = _chat(body) if path == CHAT_PATH else _completion(body)
-    if isinstance(parts, Err):
-        return parts
-    opening, text, turn = parts.ok_value
+        return _bad_request("`stream` must be true or false")
+    parsed = _parse_chat(body) if path == CHAT_PATH else _parse_completion(body)
+    if isinstance(parsed, Err):
+        return parsed
+    opening, text, turn = parsed.ok_value
     return Ok(PromptRequest(model, body.get("stream", False), turn, opening, text, body))
 
 
@@ -54,27 +54,27 @@
     return msgspec.json.encode({**request.body, "kv_transfer_params": params})
 
 
-def _chat(body: dict[str, Any]) -> Result[tuple[bytes, bytes, int], Refusal]:
+def _parse_chat(body: dict[str, Any]) -> Result[tuple[bytes, bytes, int], Refusal]:
     messages = body.get("messages")
     if not isinstance(messages, list) or not messages:
-        return _bad("`messages` must be a list with at least one message")
+        return _bad_request("`messages` must be a list with at least one message")
     text = bytearray()
     opening = 0
     turn = 0
     for number, message in enumerate(messages):
         if not isinstance(message, dict) or not isinstance(message.get("role"), str):
-            return _bad(f"`messages[{number}]` must be an object with a `role`")
+            return _bad_request(f"`messages[{number}]` must be an object with a `role`")
         content = message.get("content")
         if not isinstance(content, str | list | None):
-            return _bad(f"`messages[{number}].content` must be a string or a list")
-        text += _render(message)
+            return _bad_request(f"`messages[{number}].content` must be a string or a list")
+        text += _serialize_message(message)
         if message["role"] == "user":
             turn += 1
             opening = opening or len(text)
     return Ok((bytes(text[: opening or len(text)]), bytes(text), max(1, turn)))
 
 
-def _render(message: dict[str, Any]) -> bytes:
+def _serialize_message(message: dict[str, Any]) -> bytes:
     """Return a message as bytes; two messages differ in bytes wherever they differ in anything."""
     content = message.get("content")
     if isinstance(content, str) and len(message) == 2:
@@ -82,13 +82,13 @@
     return msgspec.json.encode(message, order="sorted") + b"\n"
 
 
-def _completion(body: dict[str, Any]) -> Result[tuple[bytes, bytes, int], Refusal]:
+def _parse_completion(body: dict[str, Any]) -> Result[tuple[bytes, bytes, int], Refusal]:
     prompt = body.get("prompt")
     if not isinstance(prompt, str) or not prompt:
-        return _bad("`prompt` must be a string")
+        return _bad_request("`prompt` must be a string")
     text = prompt.encode(errors="surrogatepass")
     return Ok((text[:OPENING_BYTES], text, 1))
 
 
-def _bad(detail: str) -> Err[Refusal]:
+def _bad_request(detail: str) -> Err[Refusal]:
     return Err(Refusal(ErrorKind.BAD_REQUEST, detail=detail))
--- a/stairquay/entry/once.py
+++ b/stairquay/entry/once.py
@@ -18,11 +18,11 @@
 from stairquay.core.errors import ErrorKind, ExecutionStatus, Refusal
 from stairquay.core.row import Row
 
-PREFIX = "once/"
+CLAIM_KEY_PREFIX = "once/"
 MAX_KEY_CHARS = 255
-RELEASE_TRIES = 10
-RELEASE_PAUSE_S = 1.0
-SETTLE_PAUSE_S = 0.05
+MAX_RELEASE_ATTEMPTS = 10
+RELEASE_RETRY_S = 1.0
+READ_RETRY_S = 0.05
 
 
 @dataclass(frozen=True)
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Waiting:
+class PendingClaim:
     """A claim that waits for its write."""
 
     key: str
@@ -47,10 +47,10 @@
 def claim_key(workspace: str, idempotency_key: str) -> str:
     """Return the row's key; callers' keys are hashed, so that any text will do."""
     digest = hashlib.sha256(idempotency_key.encode(errors="surrogatepass")).hexdigest()
-    return f"{PREFIX}{workspace}/{digest}"
+    return f"{CLAIM_KEY_PREFIX}{workspace}/{digest}"
 
 
-def body_hash(method: str, path: str, body: bytes) -> str:
+def hash_request(method: str, path: str, body: bytes) -> str:
     """Return the hash by which a key's use for another request is seen."""
     return hashlib.sha256(f"{method} {path}\n".encode() + body).hexdigest()
 
@@ -63,16 +63,16 @@
         self.box = box
         self.batch = batch
         self.timeout_s = timeout_s
-        self.queue: list[Waiting] = []
+        self.queue: list[PendingClaim] = []
         self.writer: asyncio.Task[None] | None = None
         self.releases: set[asyncio.Task[None]] = set()
         self.commits = 0
 
-    async def take(self, key: str, request_id: str, hashed: str) -> Result[None, Refusal]:
+    async def acquire(self, key: str, request_id: str, body_hash: str) -> Result[None, Refusal]:
         """Claim a key for a request; an error means that this request must not be sent."""
-        claim = Claim(request_id, hashed, self.box, time())
+        claim = Claim(request_id, body_hash, self.box, time())
         outcome: asyncio.Future[Result[None, Refusal]] = asyncio.get_running_loop().create_future()
-        self.queue.append(Waiting(key, claim, outcome))
+        self.queue.append(PendingClaim(key, claim, outcome))
         if self.writer is None or self.writer.done():
             self.writer = asyncio.create_task(self._write_all())
         try:
@@ -94,55 +94,55 @@
     async def _write_all(self) -> None:
         while self.queue:
             batch, self.queue = self.queue[: self.batch], self.queue[self.batch :]
-            batch, later = _apart(batch)
+            batch, later = _split_repeated_keys(batch)
             self.queue = later + self.queue
             await self._write(batch)
 
-    async def _write(self, batch: Sequence[Waiting]) -> None:
+    async def _write(self, batch: Sequence[PendingClaim]) -> None:
         """Write a batch; where some keys are taken already, write the others again without them."""
         self.commits += 1
-        outcome = await self.table.commit(_commit(batch))
+        outcome = await self.table.commit(_claim_commit(batch))
         if isinstance(outcome, Err):
-            await self._settle_all(batch, outcome.err_value)
+            await self._resolve_failed_write(batch, outcome.err_value)
             return
         if isinstance(outcome.ok_value, Committed):
             _resolve(batch, Ok(None))
             return
-        taken = {row.key: row for row in outcome.ok_value.rows}
+        existing_rows = {row.key: row for row in outcome.ok_value.rows}
         for item in batch:
-            if item.key in taken:
-                _resolve([item], _taken(item, taken[item.key]))
-        rest = [item for item in batch if item.key not in taken]
-        if rest and len(rest) < len(batch):
-            await self._write(rest)
-        elif rest:
-            _resolve(rest, _unavailable())
-
-    async def _settle_all(self, batch: Sequence[Waiting], fault: PlatformFault) -> None:
+            if item.key in existing_rows:
+                _resolve([item], _claim_outcome(item, existing_rows[item.key]))
+        unclaimed = [item for item in batch if item.key not in existing_rows]
+        if unclaimed and len(unclaimed) < len(batch):
+            await self._write(unclaimed)
+        elif unclaimed:
+            _resolve(unclaimed, _unavailable())
+
+    async def _resolve_failed_write(self, batch: Sequence[PendingClaim], fault: PlatformFault) -> None:
         if fault == PlatformFault.UNREACHED:
             _resolve(batch, _unavailable())
             return
-        await asyncio.gather(*(self._settle(item) for item in batch))
+        await asyncio.gather(*(self._resolve_by_reading(item) for item in batch))
 
-    async def _settle(self, item: Waiting) -> None:
+    async def _resolve_by_reading(self, item: PendingClaim) -> None:
         """Find out by reading whether a write took effect whose answer was lost."""
-        end = monotonic() + self.timeout_s
-        while monotonic() < end and not item.outcome.done():
+        deadline = monotonic() + self.timeout_s
+        while monotonic() < deadline and not item.outcome.done():
             read = await self.table.get(item.key)
             if isinstance(read, Ok) and read.ok_value is not None:
-                _resolve([item], _taken(item, read.ok_value))
+                _resolve([item], _claim_outcome(item, read.ok_value))
                 return
-            await asyncio.sleep(SETTLE_PAUSE_S)
+            await asyncio.sleep(READ_RETRY_S)
         _resolve([item], _unavailable())
 
     async def _release(self, key: str, request_id: str) -> None:
-        for _ in range(RELEASE_TRIES):
+        for _ in range(MAX_RELEASE_ATTEMPTS):
             read = await self.table.get(key)
-            if isinstance(read, Ok) and await self._delete(read.ok_value, request_id):
+            if isinstance(read, Ok) and await self._delete_claim(read.ok_value, request_id):
                 return
-            await asyncio.sleep(RELEASE_PAUSE_S)
+            await asyncio.sleep(RELEASE_RETRY_S)
 
-    async def _delete(self, row: Row | None, request_id: str) -> bool:
+    async def _delete_claim(self, row: Row | None, request_id: str) -> bool:
         """Delete a row if it is this request's claim; tell whether that is settled."""
         if row is None or row.value is None:
             return False
@@ -156,9 +156,9 @@
         return isinstance(await self.table.commit(commit), Ok)
 
 
-def _apart(batch: list[Waiting]) -> tuple[list[Waiting], list[Waiting]]:
+def _split_repeated_keys(batch: list[PendingClaim]) -> tuple[list[PendingClaim], list[PendingClaim]]:
     """Return the first claim of each key, and the later ones, which must see its outcome."""
-    first: dict[str, Waiting] = {}
+    first: dict[str, PendingClaim] = {}
     later = []
     for item in batch:
         if item.key in first:
@@ -168,7 +168,7 @@
     return list(first.values()), later
 
 
-def _commit(batch: Sequence[Waiting]) -> Commit:
+def _claim_commit(batch: Sequence[PendingClaim]) -> Commit:
     return Commit(
         token="claim-" + "-".join(item.claim.attempt for item in batch),
         conditions=tuple(Condition(item.key, 0) for item in batch),
@@ -176,16 +176,16 @@
     )
 
 
-def _taken(item: Waiting, row: Row) -> Result[None, Refusal]:
+def _claim_outcome(item: PendingClaim, row: Row) -> Result[None, Refusal]:
     """Judge a key that has a row: it may be this very claim, whose answer was lost."""
     if row.value is None:
         return _unavailable()
-    held = msgspec.json.decode(row.value, type=Claim)
-    if held.attempt == item.claim.attempt:
+    existing_claim = msgspec.json.decode(row.value, type=Claim)
+    if existing_claim.attempt == item.claim.attempt:
         return Ok(None)
-    if held.body_hash != item.claim.body_hash:
+    if existing_claim.body_hash != item.claim.body_hash:
         return Err(Refusal(ErrorKind.KEY_REUSED))
-    detail = f"request {held.attempt} has it; whether that one ran, its own answer says"
+    detail = f"request {existing_claim.attempt} has it; whether that one ran, its own answer says"
     return Err(Refusal(ErrorKind.ALREADY_CLAIMED, ExecutionStatus.UNKNOWN, detail))
 
 
@@ -193,7 +193,7 @@
     return Err(Refusal(ErrorKind.CLAIM_UNAVAILABLE))
 
 
-def _resolve(batch: Sequence[Waiting], outcome: Result[None, Refusal]) -> None:
+def _resolve(batch: Sequence[PendingClaim], outcome: Result[None, Refusal]) -> None:
     for item in batch:
         if not item.outcome.done():
             item.outcome.set_result(outcome)
--- a/stairquay/entry/plain.py
+++ b/stairquay/entry/plain.py
@@ -10,12 +10,12 @@
 from stairquay.entry.attempts import AttemptSteps, IncomingRequest
 from stairquay.entry.bodies import read_body, stream_body
 from stairquay.entry.context import EntryContext
-from stairquay.entry.marks import KEY_HEADER, REPEATABLE_HEADER, TIMEOUT_HEADER, Marks
+from stairquay.entry.marks import KEY_HEADER, REPEATABLE_HEADER, TIMEOUT_HEADER, RequestOptions
 from stairquay.entry.relay import FirstByteCallback, end_to_end_headers, plain_relay
 from stairquay.entry.targets import Target, plain_chooser
 from stairquay.entry.upstream import RUN_ID_HEADER, OutgoingRequest
 
-REPLAY_BYTES = 65_536
+MAX_REPLAYABLE_BYTES = 65_536
 """A plain request's body up to this size is held, so that another endpoint can be tried."""
 
 WORKSPACE_HEADER = "X-Stairquay-Workspace"
@@ -36,27 +36,27 @@
 """Headers that are the entry's own affair; a caller cannot speak in its name."""
 
 
-def find_plain(context: EntryContext, workspace: Workspace, path: str) -> Service | None:
+def find_plain_service(context: EntryContext, workspace: Workspace, path: str) -> Service | None:
     """Return the plain service that a path belongs to, by its longest prefix."""
     for prefix, service in context.view.configuration.plain_by_prefix.items():
-        inside = path == prefix or path.startswith(prefix.rstrip("/") + "/")
-        if inside and allowed(workspace, service):
+        matches = path == prefix or path.startswith(prefix.rstrip("/") + "/")
+        if matches and allowed(workspace, service):
             return service
     return None
 
 
-async def plain_body(
-    context: EntryContext, request: web.Request, service: Service, marks: Marks
+async def read_plain_body(
+    context: EntryContext, request: web.Request, service: Service, options: RequestOptions
 ) -> Result[bytes | AsyncIterator[bytes], Refusal]:
     """Return the body whole where it is small or its key must be claimed, else as a stream."""
-    declared = request.content_length
-    if declared is not None and declared > service.max_body_bytes:
+    content_length = request.content_length
+    if content_length is not None and content_length > service.max_body_bytes:
         return Err(Refusal(ErrorKind.BODY_TOO_LARGE, detail=f"{service.max_body_bytes} bytes"))
-    small = declared is not None and declared <= REPLAY_BYTES
+    small = content_length is not None and content_length <= MAX_REPLAYABLE_BYTES
     timeout_s = context.settings.body_timeout_s
-    if small or marks.key or not request.can_read_body:
-        whole = await read_body(request, service.max_body_bytes, timeout_s)
-        return whole.map(lambda body: body)
+    if small or options.key or not request.can_read_body:
+        body_read = await read_body(request, service.max_body_bytes, timeout_s)
+        return body_read.map(lambda body: body)
     return Ok(stream_body(request, service.max_body_bytes, timeout_s))
 
 
@@ -68,12 +68,12 @@
     on_first_byte: FirstByteCallback,
 ) -> AttemptSteps:
     """Return how a plain call is run."""
-    passed = {
+    forwarded_headers = {
         key: value for key, value in end_to_end_headers(request).items() if key.lower() not in NOT_FORWARDED
     }
 
     def prepare(target: Target, run_id: str, _: bool) -> OutgoingRequest:
-        headers = {**passed, RUN_ID_HEADER: run_id, WORKSPACE_HEADER: incoming.workspace.id}
+        headers = {**forwarded_headers, RUN_ID_HEADER: run_id, WORKSPACE_HEADER: incoming.workspace.id}
         url = f"http://{target.address}{request.path_qs}"
         return OutgoingRequest(request.method, url, headers, body or None, verify_run_id=False)
 
--- a/stairquay/entry/prompts.py
+++ b/stairquay/entry/prompts.py
@@ -18,20 +18,20 @@
 PRIORITY_HEADER = "X-Priority"
 
 
-def largest_body(context: EntryContext) -> int:
+def largest_body_limit(context: EntryContext) -> int:
     """Return the largest body that any service takes: which one is meant, the body itself says."""
     services = context.view.configuration.services.values()
     return max((item.max_body_bytes for item in services), default=0)
 
 
-def find_model(
-    context: EntryContext, workspace: Workspace, model: str, size: int
+def find_engine_service(
+    context: EntryContext, workspace: Workspace, model: str, body_bytes: int
 ) -> Result[Service, Refusal]:
     """Return the engine service that a workspace means by a model's name."""
     service = context.view.configuration.services.get(model)
     if service is None or service.kind != ServiceKind.ENGINE or not allowed(workspace, service):
         return Err(Refusal(ErrorKind.UNKNOWN_MODEL))
-    if size > service.max_body_bytes:
+    if body_bytes > service.max_body_bytes:
         return Err(Refusal(ErrorKind.BODY_TOO_LARGE, detail=f"{service.max_body_bytes} bytes"))
     return Ok(service)
 
@@ -56,8 +56,8 @@
     """Return how a prompt is run."""
     workspace = incoming.workspace
     key = workspace_key(workspace.kept_secret, workspace.id, incoming.service.id)
-    described = identify_prompt(key, prompt.opening, prompt.text)
-    choose = routes.chooser(incoming.service, workspace, described, prompt.turn)
+    prompt_identity = identify_prompt(key, prompt.opening, prompt.text)
+    choose = routes.chooser(incoming.service, workspace, prompt_identity, prompt.turn)
 
     def prepare(target: Target, run_id: str, high_priority: bool) -> OutgoingRequest:
         headers = {
--- a/stairquay/entry/replies.py
+++ b/stairquay/entry/replies.py
@@ -8,18 +8,18 @@
 from stairquay.core.errors import Refusal
 
 REQUEST_ID_HEADER = "X-Request-Id"
-RAN_HEADER = "Stairquay-Run"
+EXECUTION_STATUS_HEADER = "Stairquay-Run"
 
 
 def refusal_response(refusal: Refusal, request_id: str) -> web.Response:
     """Return the answer to a request that was refused."""
-    headers = {REQUEST_ID_HEADER: request_id, RAN_HEADER: refusal.ran.value}
+    headers = {REQUEST_ID_HEADER: request_id, EXECUTION_STATUS_HEADER: refusal.ran.value}
     if refusal.effective_retry_after_s is not None:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.effective_retry_after_s)))
         headers["Retry-After-Ms"] = str(math.ceil(refusal.effective_retry_after_s * 1000))
     return web.Response(
         status=refusal.response.status,
-        body=_envelope(refusal, request_id),
+        body=_encode_error(refusal, request_id),
         headers=headers,
         content_type="application/json",
     )
@@ -27,10 +27,10 @@
 
 def error_event(refusal: Refusal, request_id: str) -> bytes:
     """Return the event that ends a stream that broke after it had begun."""
-    return b"\n\ndata: " + _envelope(refusal, request_id) + b"\n\n"
+    return b"\n\ndata: " + _encode_error(refusal, request_id) + b"\n\n"
 
 
-def _envelope(refusal: Refusal, request_id: str) -> bytes:
+def _encode_error(refusal: Refusal, request_id: str) -> bytes:
     error: dict[str, str | float | None] = {
         "message": refusal.message,
         "type": refusal.response.type,
