--- a/stairquay/entry/__init__.py
+++ b/stairquay/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry program: callers' HTTP, limits, attempts and relay of answers."""
+"""The entry program: an HTTP proxy that limits, routes, retries and relays clients' requests."""
--- a/stairquay/entry/app.py
+++ b/stairquay/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry program."""
+"""Start-up, readiness and graceful shutdown of the entry program."""
 
 import asyncio
 import random
@@ -27,11 +27,11 @@
 
 ROLE = "entry"
 SHUTDOWN_TIMEOUT_S = 1.0
-"""Seconds that the server gives to requests which are left when `drain_s` is over."""
+"""Time the HTTP server gives to requests that outlast `drain_s`."""
 
 
 async def run_entry(settings: Settings, entry: EntrySettings) -> None:
-    """Run the entry until a stop signal, then let every request under way finish."""
+    """Run the entry until a stop signal, then drain it."""
     view = View(settings.box.id, ROLE, settings.view.stale_s)
     platform = HttpPlatform(settings.platform.url, settings.platform.timeout_s)
     channels = RouterChannels(settings.internal_tls)
@@ -70,7 +70,7 @@
     tasks = Tasks()
     one_round = follow_routers(settings.view, entry.router, platform, channels)
     tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
-    logging.info("entry %s listens on %s", settings.box.id, entry.listen)
+    logging.info("entry %s listening on %s", settings.box.id, entry.listen)
     await until_stopped(tasks)
     await _drain(context, entry)
     await site.cleanup()
@@ -83,10 +83,10 @@
 
 
 async def _drain(context: EntryContext, entry: EntrySettings) -> None:
-    """Turn unready, serve on until the balancer has seen it, then finish what is under way."""
+    """Report not ready, wait for load balancers to notice, then refuse new requests and drain the others."""
     context.stopping = True
     await asyncio.sleep(entry.lame_duck_s)
     context.refusing = True
     finished = await wait_until(lambda: context.in_flight == 0, entry.drain_s)
     if not finished:
-        logging.warning("%d requests were still under way after drain_s", context.in_flight)
+        logging.warning("%d requests still in flight after drain_s", context.in_flight)
--- a/stairquay/entry/attempts.py
+++ b/stairquay/entry/attempts.py
@@ -1,4 +1,4 @@
-"""Runs a request: attempts at endpoints, one after the other, as far as truth and budget allow."""
+"""Runs a request as a series of attempts at endpoints, within its deadline and the retry budget."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -34,12 +34,10 @@
 
 @dataclass(frozen=True)
 class IncomingRequest:
-    """What is known of a request once its caller is: times are monotonic seconds.
+    """A client's request after authentication; times are monotonic seconds.
 
-    repeatable: it may run more than once; replayable: its body is held, so that it can be sent again;
-    returning: it belongs to a conversation that has been here before, or to a plain service;
-    urgent: it goes before those that are not, where an engine honours priorities;
-    on_first: what is called when the first byte of its answer goes out.
+    repeatable: may run more than once; replayable: its body is buffered and can be sent again;
+    returning: a later turn of a conversation, or a plain call; high_priority: tie-break of engine priority.
     """
 
     request_id: str
@@ -56,7 +54,7 @@
 
 @dataclass(frozen=True)
 class StartedAttempt:
-    """An attempt whose answer has begun."""
+    """An attempt whose response headers have been received."""
 
     target: Target
     attempt: Attempt
@@ -64,16 +62,16 @@
 
 
 Relay = Callable[[StartedAttempt], Awaitable[Result[web.StreamResponse, Failure]]]
-"""Passes an answer on to the caller. It fails only where no byte has reached the caller yet."""
+"""Relays a response to the client; a failure has `partial_response` if bytes were sent."""
 
 
 Cancel = Callable[[Target, str], Coroutine[Any, Any, None]]
-"""Tells an endpoint that nobody waits for a run any more."""
+"""Cancels a run at an endpoint, by run id."""
 
 
 @dataclass(frozen=True)
 class AttemptSteps:
-    """How to run a request: where, as what, how its answer is passed on, and how it is given up."""
+    """The steps of an attempt, from the choice of an endpoint to the response or cancellation."""
 
     choose: Chooser
     prepare: Callable[[Target, str, bool], OutgoingRequest]
@@ -83,14 +81,14 @@
 
 @dataclass
 class Usage:
-    """Tokens of a prompt, and those of them that the endpoint did not have to compute."""
+    """Prompt tokens reported by an endpoint, and those of them that were cached."""
 
     prompt_tokens: int = 0
     cached_tokens: int = 0
 
 
 class Runner:
-    """Runs requests; keeps nothing between them but the context."""
+    """Runs requests."""
 
     def __init__(self, context: EntryContext, routes: RouteClient) -> None:
         self.context = context
@@ -99,7 +97,7 @@
     async def run(
         self, incoming: IncomingRequest, steps: AttemptSteps
     ) -> Result[web.StreamResponse, Refusal]:
-        """Return the caller's answer, or the refusal that is true of all attempts together."""
+        """Return the response, or a refusal with the execution status of all attempts combined."""
         ran = ExecutionStatus.NOT_RUN
         prior = PriorAttempts(self._ejected_endpoints(incoming))
         budget = self.context.retry_budget(incoming.service.id)
@@ -153,14 +151,13 @@
             self._count_tokens(incoming, opened.ok_value, usage)
             return await steps.relay(StartedAttempt(target, attempt, opened.ok_value))
         except (asyncio.CancelledError, ConnectionError):
-            # The caller is gone; failures of the endpoint come back as results.
+            # The client disconnected; failures of the endpoint are returned, not raised.
             self.routes.report(target, RUN_OUTCOME_FAILED)
             if steps.cancel is not None:
                 self.routes.run_in_background(steps.cancel(target, attempt.run_id))
             raise
 
     def _count_tokens(self, incoming: IncomingRequest, response: ClientResponse, usage: Usage) -> None:
-        """Take in what an answer's head says of its prompt."""
         usage.prompt_tokens = parse_count_header(response, PROMPT_TOKENS_HEADER)
         usage.cached_tokens = parse_count_header(response, CACHED_TOKENS_HEADER)
         if not usage.prompt_tokens:
@@ -177,7 +174,6 @@
         outcome: Result[web.StreamResponse, Failure],
         usage: Usage,
     ) -> None:
-        """Tell the router, the ejector and the membership what became of an attempt."""
         ejector = self.context.ejector(incoming.service.id)
         if isinstance(outcome, Ok):
             ejector.on_success(target.endpoint)
@@ -196,7 +192,7 @@
             target.endpoint, monotonic(), len(incoming.service.endpoints)
         ):
             self.context.metrics.ejected.labels(incoming.service.id).inc()
-            logging.info("endpoint %s ejected after failures", target.endpoint)
+            logging.info("ejected endpoint %s after consecutive failures", target.endpoint)
 
     def _ejected_endpoints(self, incoming: IncomingRequest) -> frozenset[str]:
         ejected = self.context.ejector(incoming.service.id).ejected(monotonic())
@@ -205,10 +201,10 @@
         return frozenset(ejected)
 
     def _may_retry(self, incoming: IncomingRequest, failure: Failure, number: int) -> bool:
-        """Tell whether another attempt is allowed.
+        """Return whether another attempt is allowed.
 
-        A request that must not repeat is sent again only where it has truly not run. Attempts that
-        the endpoint turned away at no cost are not charged to the budget; failures are.
+        A request that is not repeatable is retried only if it has not run. Failures are charged to the
+        retry budget; refusals by an endpoint are not.
         """
         if number >= self.context.settings.max_attempts or not incoming.replayable:
             return False
@@ -226,7 +222,7 @@
 
 
 def _add_failure(prior: PriorAttempts, endpoint: str, failure: Failure) -> PriorAttempts:
-    """Return what is known after one more failure; an endpoint of another version is not avoided."""
+    """Add a failed attempt; an endpoint that refused only the weight version is not avoided."""
     if failure.version and not failure.leaving:
         return PriorAttempts(prior.avoided, {**prior.versions, endpoint: failure.version})
     return PriorAttempts(prior.avoided | {endpoint}, prior.versions)
--- a/stairquay/entry/callers.py
+++ b/stairquay/entry/callers.py
@@ -1,4 +1,4 @@
-"""Reads OpenAI-compatible requests, and builds the request that goes to an engine."""
+"""Parses OpenAI-compatible requests, and encodes the request bodies for engines."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -13,12 +13,15 @@
 COMPLETIONS_PATH = "/v1/completions"
 
 OPENING_BYTES = 4 * BLOCK_TOKENS * BYTES_PER_TOKEN
-"""Leading bytes of a plain completion's prompt that name its family."""
+"""Leading bytes of a text completion's prompt that identify its family."""
 
 
 @dataclass(frozen=True)
 class PromptRequest:
-    """A caller's request. `text` and `opening` are what identities derive from; neither is logged."""
+    """A parsed completion request.
+
+    turn: number of user messages; opening, text: input of the prompt's identity, never logged.
+    """
 
     model: str
     stream: bool
@@ -29,16 +32,16 @@
 
 
 def parse_prompt(path: str, raw: bytes) -> Result[PromptRequest, Refusal]:
-    """Return the request in a body, or what is wrong with it."""
+    """Parse the body of a chat or text completion."""
     try:
         body = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         return _bad_request(f"the body is not JSON ({type(error).__name__})")
     if not isinstance(body, dict):
-        return _bad_request("the body must be an object")
+        return _bad_request("the body must be a JSON object")
     model = body.get("model")
     if not isinstance(model, str) or not model:
-        return _bad_request("`model` must be a string")
+        return _bad_request("`model` must be a non-empty string")
     if not isinstance(body.get("stream", False), bool):
         return _bad_request("`stream` must be true or false")
     parsed = _parse_chat(body) if path == CHAT_PATH else _parse_completion(body)
@@ -49,7 +52,7 @@
 
 
 def engine_body(request: PromptRequest, ids: tuple[str, ...], version: str) -> bytes:
-    """Return the body for an engine: the caller's, with the identities of the prompt's blocks."""
+    """Return the client's body with the block ids added; a client's own `kv_transfer_params` are replaced."""
     params = {"ids": ids, "block_tokens": BLOCK_TOKENS, "version": version}
     return msgspec.json.encode({**request.body, "kv_transfer_params": params})
 
@@ -75,7 +78,7 @@
 
 
 def _serialize_message(message: dict[str, Any]) -> bytes:
-    """Return a message as bytes; two messages differ in bytes wherever they differ in anything."""
+    """Return a message as bytes; different messages have different bytes."""
     content = message.get("content")
     if isinstance(content, str) and len(message) == 2:
         return f"<{message['role']}>\n{content}\n".encode(errors="surrogatepass")
@@ -85,7 +88,7 @@
 def _parse_completion(body: dict[str, Any]) -> Result[tuple[bytes, bytes, int], Refusal]:
     prompt = body.get("prompt")
     if not isinstance(prompt, str) or not prompt:
-        return _bad_request("`prompt` must be a string")
+        return _bad_request("`prompt` must be a non-empty string")
     text = prompt.encode(errors="surrogatepass")
     return Ok((text[:OPENING_BYTES], text, 1))
 
--- a/stairquay/entry/context.py
+++ b/stairquay/entry/context.py
@@ -1,4 +1,4 @@
-"""What an entry keeps while it runs: nothing but requests in flight and what it learned of endpoints."""
+"""In-memory state of an entry: requests in flight, concurrency limits, retry budgets, ejected endpoints."""
 
 import asyncio
 from collections import Counter
@@ -23,9 +23,10 @@
 
 @dataclass
 class EntryContext:
-    """State of an entry, handed to every request.
+    """State shared by all requests of an entry.
 
-    `session` and `once_session` carry attempts; `side_session` carries calls about runs.
+    unpooled_session: for requests that must run at most once; run_control_session: resumes and cancels runs;
+    stopping: reports not ready; refusing: refuses new requests.
     """
 
     box: str
@@ -49,7 +50,7 @@
     refusing: bool = False
 
     def limiter(self, service: Service) -> "ConcurrencyLimiter":
-        """Return a service's gate, with as many slots as its endpoints give this box now."""
+        """Return a service's limiter, with slots for this box's share of the usable endpoints."""
         limiter = self.limiters.get(service.id)
         if limiter is None:
             limiter = ConcurrencyLimiter(FairQueue(slots=1, max_wait_s=self.settings.max_queue_s))
@@ -61,28 +62,28 @@
         return limiter
 
     def retry_budget(self, service: str) -> RetryBudget:
-        """Return a service's retry budget."""
+        """Return the retry budget of a service id."""
         return self.retry_budgets.setdefault(service, RetryBudget())
 
     def ejector(self, service: str) -> Ejector:
-        """Return a service's ejector."""
+        """Return the outlier ejector of a service id."""
         return self.ejectors.setdefault(service, Ejector())
 
     def box_share(self) -> float:
-        """Return this box's share of limits that hold for the whole system."""
+        """Return this box's share of system-wide limits."""
         return 1.0 / max(1, len(self.view.live_routers()))
 
     def usable_endpoints(self, service: Service) -> list[str]:
-        """Return the endpoints of a service that may get new work."""
+        """Return the ids of a service's endpoints that accept new requests."""
         membership = self.view.membership
         return [item.id for item in service.endpoints if membership.usable(item.id) is not None]
 
 
 @dataclass
 class Permit:
-    """A request's hold on its slots: the starting one until `on_first`, the other until `leave`.
+    """A request's slot, and its starting slot until the first byte of the response.
 
-    `urgent`: its workspace had nothing else waiting, so it goes before those of workspaces that had.
+    acquired_at: monotonic seconds; high_priority: the workspace had no other request waiting.
     """
 
     limiter: "ConcurrencyLimiter"
@@ -91,20 +92,20 @@
     starting_slot_released: bool = False
 
     def release_starting_slot(self) -> None:
-        """Free the starting slot; a second call does nothing."""
+        """Release the starting slot; idempotent."""
         if not self.starting_slot_released:
             self.starting_slot_released = True
             self.limiter.release_starting_slot(monotonic() - self.acquired_at)
 
     def release(self) -> None:
-        """Free what is still held."""
+        """Release all slots still held."""
         self.release_starting_slot()
         self.limiter.release_slot(monotonic() - self.acquired_at)
 
 
 @dataclass
 class ConcurrencyLimiter:
-    """Waits for slots of a fair queue."""
+    """Bounds a service's concurrent requests by the slots of a fair queue."""
 
     queue: FairQueue
     waiting: dict[int, "asyncio.Future[None]"] = field(default_factory=dict)
@@ -112,7 +113,7 @@
     async def acquire(
         self, workspace: Workspace, timeout_s: float, returning: bool = True
     ) -> Result[Permit, Refusal]:
-        """Wait for a slot, at most `timeout_s`; return the hold on it, or why there is none."""
+        """Wait at most `timeout_s` for a slot."""
         ticket = self.queue.offer(workspace, returning)
         if isinstance(ticket, Refusal):
             return Err(ticket)
@@ -121,24 +122,24 @@
         self._grant_slots()
         try:
             async with asyncio.timeout(timeout_s):
-                # Shielded: a time-out must not end what `_grant` may be about to set.
+                # The timeout must not cancel a future that `_grant_slots` may still resolve.
                 await asyncio.shield(granted)
         except TimeoutError:
             if ticket.number in self.waiting:
                 return Err(self._withdraw_timed_out(ticket, workspace))
-            # The slot was granted in the same moment; it is ours to use.
+            # Granted just before the timeout fired.
         except asyncio.CancelledError:
             self._undo_cancelled(ticket, granted)
             raise
         return Ok(Permit(self, monotonic(), not self.queue.backlogged(workspace.id)))
 
     def release_starting_slot(self, held_s: float) -> None:
-        """Free a starting slot."""
+        """Release a starting slot that was held for `held_s`."""
         self.queue.release_starting_slot(held_s)
         self._grant_slots()
 
     def release_slot(self, held_s: float) -> None:
-        """Free a slot."""
+        """Release a slot that was held for `held_s`."""
         self.queue.release(held_s)
         self._grant_slots()
 
@@ -155,7 +156,7 @@
         return self.queue.overload_refusal(workspace, self.queue.max_wait_s)
 
     def _undo_cancelled(self, ticket: Ticket, granted: "asyncio.Future[None]") -> None:
-        """Put back what a request that went away had: its place, or the slot it was just given."""
+        """Leave the queue, or release the slot if it was granted before the cancellation."""
         if self.waiting.pop(ticket.number, None) is not None:
             self.queue.withdraw(ticket)
         elif granted.done():
--- a/stairquay/entry/marks.py
+++ b/stairquay/entry/marks.py
@@ -1,4 +1,4 @@
-"""What a caller's headers say about repeating, claims and time."""
+"""Parses the request headers for idempotency, repeatability and timeouts."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class RequestOptions:
-    """What a caller's headers say about repeating and time (seconds, None: the service's own)."""
+    """Options of a request. key: idempotency key or empty; timeout_s: None for the service's."""
 
     key: str
     repeatable: bool
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True)
 class ClaimRequest:
-    """The claim that a request needs: the caller's key, and the hash of what it is used for."""
+    """A claim to acquire: the client's idempotency key, and the hash of its request."""
 
     key: str
     body_hash: str
 
 
 def parse_request_options(headers: CIMultiDictProxy[str]) -> Result[RequestOptions, Refusal]:
-    """Return what the headers say about repeating and time."""
+    """Parse the option headers; a request with an idempotency key is not repeatable."""
     key = headers.get(KEY_HEADER, "")
     if len(key) > MAX_KEY_CHARS or (KEY_HEADER in headers and not key.strip()):
         return Err(Refusal(ErrorKind.KEY_INVALID, detail=f"1 to {MAX_KEY_CHARS} characters"))
@@ -47,14 +47,19 @@
     except ValueError:
         timeout_s = -1.0
     if not 0 < timeout_s < float("inf"):
-        return Err(Refusal(ErrorKind.BAD_REQUEST, detail=f"{TIMEOUT_HEADER} must be seconds above 0"))
+        return Err(
+            Refusal(
+                ErrorKind.BAD_REQUEST,
+                detail=f"{TIMEOUT_HEADER} must be a positive number of seconds, not {timeout_text!r}",
+            )
+        )
     return Ok(RequestOptions(key, repeatable, timeout_s))
 
 
 def claim_request(
     request: web.Request, options: RequestOptions, body: bytes | AsyncIterator[bytes]
 ) -> ClaimRequest | None:
-    """Return the claim that a request needs; a body under a key is always held whole."""
+    """Return the claim that a request needs; with a key, the body is always buffered."""
     if not options.key or not isinstance(body, bytes):
         return None
     return ClaimRequest(options.key, hash_request(request.method, request.path_qs, body))
--- a/stairquay/entry/once.py
+++ b/stairquay/entry/once.py
@@ -1,7 +1,6 @@
-"""Claims of requests that may run at most once: one conditional row for each idempotency key.
+"""At-most-once execution: claims idempotency keys by conditional writes to the table.
 
-Claims that come in while a write is under way go out together in the next one. The related paper
-bundles its messages the same way; docs/DESIGN.md gives the measurement.
+Claims that arrive during a write are batched into the next one.
 """
 
 import asyncio
@@ -27,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """The row of a claim. `attempt` is the request id that made it; `at` is Unix seconds."""
+    """Value of a claim's row. attempt: id of the request that claims the key; at: Unix seconds."""
 
     attempt: str
     body_hash: str
@@ -37,7 +36,7 @@
 
 @dataclass
 class PendingClaim:
-    """A claim that waits for its write."""
+    """A claim to be written, and the future of its outcome."""
 
     key: str
     claim: Claim
@@ -45,18 +44,18 @@
 
 
 def claim_key(workspace: str, idempotency_key: str) -> str:
-    """Return the row's key; callers' keys are hashed, so that any text will do."""
+    """Return the row key; the idempotency key is hashed, since it may be any text."""
     digest = hashlib.sha256(idempotency_key.encode(errors="surrogatepass")).hexdigest()
     return f"{CLAIM_KEY_PREFIX}{workspace}/{digest}"
 
 
 def hash_request(method: str, path: str, body: bytes) -> str:
-    """Return the hash by which a key's use for another request is seen."""
+    """Return the hash that detects an idempotency key reused for another request."""
     return hashlib.sha256(f"{method} {path}\n".encode() + body).hexdigest()
 
 
 class Claims:
-    """Claims of one entry, written in batches."""
+    """Acquires and releases claims; `batch` is the maximum number of claims in a write."""
 
     def __init__(self, table: Table, box: str, batch: int, timeout_s: float) -> None:
         self.table = table
@@ -69,7 +68,7 @@
         self.commits = 0
 
     async def acquire(self, key: str, request_id: str, body_hash: str) -> Result[None, Refusal]:
-        """Claim a key for a request; an error means that this request must not be sent."""
+        """Claim a key for a request, which must not be sent if this fails."""
         claim = Claim(request_id, body_hash, self.box, time())
         outcome: asyncio.Future[Result[None, Refusal]] = asyncio.get_running_loop().create_future()
         self.queue.append(PendingClaim(key, claim, outcome))
@@ -86,7 +85,7 @@
             raise
 
     def release(self, key: str, request_id: str) -> None:
-        """Give a claim back in the background: its request has truly not run."""
+        """Delete the claim of a request that has not run, in the background."""
         task = asyncio.create_task(self._release(key, request_id))
         self.releases.add(task)
         task.add_done_callback(self.releases.discard)
@@ -99,7 +98,7 @@
             await self._write(batch)
 
     async def _write(self, batch: Sequence[PendingClaim]) -> None:
-        """Write a batch; where some keys are taken already, write the others again without them."""
+        """Write a batch; if some keys are claimed already, retry with the others."""
         self.commits += 1
         outcome = await self.table.commit(_claim_commit(batch))
         if isinstance(outcome, Err):
@@ -125,7 +124,7 @@
         await asyncio.gather(*(self._resolve_by_reading(item) for item in batch))
 
     async def _resolve_by_reading(self, item: PendingClaim) -> None:
-        """Find out by reading whether a write took effect whose answer was lost."""
+        """Read whether a write took effect after its response was lost."""
         deadline = monotonic() + self.timeout_s
         while monotonic() < deadline and not item.outcome.done():
             read = await self.table.get(item.key)
@@ -143,7 +142,7 @@
             await asyncio.sleep(RELEASE_RETRY_S)
 
     async def _delete_claim(self, row: Row | None, request_id: str) -> bool:
-        """Delete a row if it is this request's claim; tell whether that is settled."""
+        """Delete a row if it is this request's claim; return False if this must be tried again."""
         if row is None or row.value is None:
             return False
         if msgspec.json.decode(row.value, type=Claim).attempt != request_id:
@@ -157,7 +156,7 @@
 
 
 def _split_repeated_keys(batch: list[PendingClaim]) -> tuple[list[PendingClaim], list[PendingClaim]]:
-    """Return the first claim of each key, and the later ones, which must see its outcome."""
+    """Return the first claim of each key, and the others for a later write."""
     first: dict[str, PendingClaim] = {}
     later = []
     for item in batch:
@@ -177,7 +176,7 @@
 
 
 def _claim_outcome(item: PendingClaim, row: Row) -> Result[None, Refusal]:
-    """Judge a key that has a row: it may be this very claim, whose answer was lost."""
+    """Return the outcome for an existing row, which may be this very claim."""
     if row.value is None:
         return _unavailable()
     existing_claim = msgspec.json.decode(row.value, type=Claim)
@@ -185,7 +184,7 @@
         return Ok(None)
     if existing_claim.body_hash != item.claim.body_hash:
         return Err(Refusal(ErrorKind.KEY_REUSED))
-    detail = f"request {existing_claim.attempt} has it; whether that one ran, its own answer says"
+    detail = f"request {existing_claim.attempt} holds the key; its response says whether it ran"
     return Err(Refusal(ErrorKind.ALREADY_CLAIMED, ExecutionStatus.UNKNOWN, detail))
 
 
--- a/stairquay/entry/plain.py
+++ b/stairquay/entry/plain.py
@@ -1,4 +1,4 @@
-"""Plain services: which one a path means, and how a call is passed on to it."""
+"""Plain services: lookup by path, and the steps of proxying a call."""
 
 from collections.abc import AsyncIterator
 
@@ -16,7 +16,7 @@
 from stairquay.entry.upstream import RUN_ID_HEADER, OutgoingRequest
 
 MAX_REPLAYABLE_BYTES = 65_536
-"""A plain request's body up to this size is held, so that another endpoint can be tried."""
+"""Bodies up to this size are buffered, so that they can be sent again."""
 
 WORKSPACE_HEADER = "X-Stairquay-Workspace"
 
@@ -33,11 +33,11 @@
         WORKSPACE_HEADER,
     )
 )
-"""Headers that are the entry's own affair; a caller cannot speak in its name."""
+"""Client headers (lower case) that are dropped, since the entry consumes or sets them."""
 
 
 def find_plain_service(context: EntryContext, workspace: Workspace, path: str) -> Service | None:
-    """Return the plain service that a path belongs to, by its longest prefix."""
+    """Return the plain service with the longest prefix of a path."""
     for prefix, service in context.view.configuration.plain_by_prefix.items():
         matches = path == prefix or path.startswith(prefix.rstrip("/") + "/")
         if matches and allowed(workspace, service):
@@ -48,10 +48,10 @@
 async def read_plain_body(
     context: EntryContext, request: web.Request, service: Service, options: RequestOptions
 ) -> Result[bytes | AsyncIterator[bytes], Refusal]:
-    """Return the body whole where it is small or its key must be claimed, else as a stream."""
+    """Return the body buffered if it is small or has an idempotency key, else as a stream."""
     content_length = request.content_length
     if content_length is not None and content_length > service.max_body_bytes:
-        return Err(Refusal(ErrorKind.BODY_TOO_LARGE, detail=f"{service.max_body_bytes} bytes"))
+        return Err(Refusal(ErrorKind.BODY_TOO_LARGE, detail=f"at most {service.max_body_bytes} bytes"))
     small = content_length is not None and content_length <= MAX_REPLAYABLE_BYTES
     timeout_s = context.settings.body_timeout_s
     if small or options.key or not request.can_read_body:
@@ -67,7 +67,7 @@
     body: bytes | AsyncIterator[bytes],
     on_first_byte: FirstByteCallback,
 ) -> AttemptSteps:
-    """Return how a plain call is run."""
+    """Return the attempt steps for a call of a plain service."""
     forwarded_headers = {
         key: value for key, value in end_to_end_headers(request).items() if key.lower() not in NOT_FORWARDED
     }
--- a/stairquay/entry/prompts.py
+++ b/stairquay/entry/prompts.py
@@ -1,4 +1,4 @@
-"""Prompts: the service that a model's name means, and how its engines are asked."""
+"""Prompts: lookup of engine services by model name, and the steps of running a prompt."""
 
 from functools import partial
 
@@ -19,7 +19,7 @@
 
 
 def largest_body_limit(context: EntryContext) -> int:
-    """Return the largest body that any service takes: which one is meant, the body itself says."""
+    """Return the largest body limit, which applies until the model has been read from the body."""
     services = context.view.configuration.services.values()
     return max((item.max_body_bytes for item in services), default=0)
 
@@ -27,20 +27,19 @@
 def find_engine_service(
     context: EntryContext, workspace: Workspace, model: str, body_bytes: int
 ) -> Result[Service, Refusal]:
-    """Return the engine service that a workspace means by a model's name."""
+    """Return the engine service of a model, if the workspace may use it."""
     service = context.view.configuration.services.get(model)
     if service is None or service.kind != ServiceKind.ENGINE or not allowed(workspace, service):
         return Err(Refusal(ErrorKind.UNKNOWN_MODEL))
     if body_bytes > service.max_body_bytes:
-        return Err(Refusal(ErrorKind.BODY_TOO_LARGE, detail=f"{service.max_body_bytes} bytes"))
+        return Err(Refusal(ErrorKind.BODY_TOO_LARGE, detail=f"at most {service.max_body_bytes} bytes"))
     return Ok(service)
 
 
 def engine_priority(workspace: Workspace, high_priority: bool) -> int:
     """Return a run's priority at its engine; higher goes first.
 
-    Within one priority of workspaces, those go first that have no more waiting here: a flood does not
-    get before others at the engines what fair queueing has kept from it at the entry.
+    Workspaces without a backlog win ties, so that engines keep the order of the entry's fair queue.
     """
     return 2 * workspace.priority + high_priority
 
@@ -53,7 +52,7 @@
     prompt: PromptRequest,
     on_first_byte: FirstByteCallback,
 ) -> AttemptSteps:
-    """Return how a prompt is run."""
+    """Return the attempt steps for a prompt."""
     workspace = incoming.workspace
     key = workspace_key(workspace.kept_secret, workspace.id, incoming.service.id)
     prompt_identity = identify_prompt(key, prompt.opening, prompt.text)
--- a/stairquay/entry/relay.py
+++ b/stairquay/entry/relay.py
@@ -1,7 +1,7 @@
-"""Passes answers on to callers: streams by the byte, whole answers in one piece.
+"""Relays responses from endpoints to clients, streamed or buffered.
 
-No answer is parsed while it is passed on. A stream that breaks is resumed from the same run at the
-exact offset; if that fails, it ends in a clear error. Bytes of two runs are never joined.
+An interrupted response is resumed from the same run at the exact byte offset; if that fails, a stream ends
+with an error event. Bytes of different runs are never joined.
 """
 
 import asyncio
@@ -43,11 +43,11 @@
 )
 
 FirstByteCallback = Callable[[], None]
-"""Called once, when the first byte of an answer is about to go to the caller."""
+"""Called once, just before the first byte of a response goes to the client."""
 
 
 def end_to_end_headers(message: web.Request | ClientResponse) -> dict[str, str]:
-    """Return the headers that a proxy passes on."""
+    """Return the headers that a proxy forwards (RFC 9110, section 7.6.1)."""
     connection_headers = message.headers.get("Connection", "").lower().split(",")
     hop_by_hop = HOP_BY_HOP | {name.strip() for name in connection_headers}
     return {key: value for key, value in message.headers.items() if key.lower() not in hop_by_hop}
@@ -55,21 +55,21 @@
 
 @dataclass
 class Progress:
-    """How much of an answer has been read, and its last bytes."""
+    """Bytes of a response read so far, and the last of them."""
 
     offset: int = 0
     tail: bytes = b""
 
     def add(self, chunk: bytes) -> None:
-        """Count a chunk that was read."""
+        """Add a chunk that was read."""
         self.offset += len(chunk)
         self.tail = (self.tail + chunk[-len(STREAM_END) :])[-len(STREAM_END) :]
 
 
 class EngineRelay:
-    """Passes one engine answer on; whole answers are checked before a byte of them goes out.
+    """Relays one engine response; a buffered one is sent only if it is complete JSON.
 
-    `answer` is the caller's side of a stream, once its first byte is due.
+    client_response: a stream's response, once started.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self.client_response: web.StreamResponse | None = None
 
     async def relay_stream(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
-        """Pass a stream on as it comes."""
+        """Relay a stream; responses other than 200 are buffered."""
         if started.response.status != HTTP_OK:
             return await self.relay_buffered(started)
         try:
@@ -96,7 +96,7 @@
             started.response.close()
 
     async def relay_buffered(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
-        """Read an answer to its end, then pass it on."""
+        """Read a response to its end, then relay it."""
         try:
             return await self._buffer_with_resume(started)
         finally:
@@ -113,15 +113,15 @@
                 started.attempt.finish()
                 await self.client_response.write_eof()
                 return Ok(self.client_response)
-            # A source that gave nothing will give nothing again: its run has ended without an end.
+            # A resumed response without new bytes means that the run ended without its end marker.
             progressed = self.progress.offset > previous_offset or upstream is started.response
             upstream = await self._resume(started) if progressed else None
         return await self._end_broken_stream(started)
 
     async def _copy_until_end(self, upstream: ClientResponse, started: StartedAttempt) -> None:
-        """Pass on what comes until the source ends, breaks or stalls.
+        """Copy chunks to the client until the upstream response ends, fails or stalls.
 
-        One timer watches both sides: a new one for every chunk would cost more than the chunk.
+        One rescheduled timer covers reads and writes; a timer per chunk would be costly.
         """
         writing = False
         try:
@@ -139,10 +139,10 @@
                     writing = False
         except (ClientError, TimeoutError) as error:
             if writing:
-                raise ConnectionResetError("the caller is gone or does not read") from error
+                raise ConnectionResetError("client disconnected or stopped reading") from error
 
     def _stall_deadline(self) -> float:
-        """Return the loop time until which something must have moved."""
+        """Return the event-loop time by which the next chunk must be read and written."""
         now = monotonic()
         remaining_s = min(self.context.settings.stall_timeout_s, self.incoming.deadline - now)
         return asyncio.get_running_loop().time() + remaining_s
@@ -167,7 +167,9 @@
                 return Ok(self._buffered_response(started, bytes(body)))
             upstream = await self._resume(started) if chunk is None else None
         started.attempt.lose()
-        return Err(Failure(ErrorKind.ENDPOINT_GARBAGE, started.attempt.ran, "the answer is not whole JSON"))
+        return Err(
+            Failure(ErrorKind.ENDPOINT_GARBAGE, started.attempt.ran, "the response is not complete JSON")
+        )
 
     def _buffered_response(self, started: StartedAttempt, body: bytes) -> web.Response:
         return web.Response(
@@ -187,7 +189,7 @@
         return {"Content-Type": content_type, REQUEST_ID_HEADER: self.incoming.request_id}
 
     async def _resume(self, started: StartedAttempt) -> ClientResponse | None:
-        """Return the rest of the same run's answer from the exact offset, or None."""
+        """Return the run's response from the current offset, or None."""
         for number in range(MAX_RESUME_ATTEMPTS):
             await asyncio.sleep(RESUME_RETRY_STEP_S * number)
             if monotonic() >= self.incoming.deadline:
@@ -217,7 +219,7 @@
         started.attempt.lose()
         expired = monotonic() >= self.incoming.deadline
         kind = ErrorKind.DEADLINE if expired else ErrorKind.ENDPOINT_FAILED
-        refusal = Refusal(kind, started.attempt.ran, "the answer broke off")
+        refusal = Refusal(kind, started.attempt.ran, "the response was interrupted")
         if self.client_response is not None:
             self.context.metrics.refusals.labels(kind.value, refusal.ran.value).inc()
             await self._write_error_event(
@@ -226,17 +228,17 @@
         return Err(Failure(kind, refusal.ran, refusal.detail, partial_response=self.client_response))
 
     async def _write_error_event(self, client_response: web.StreamResponse, event: bytes) -> None:
-        """End a broken stream; a caller that does not read is taken to be gone."""
+        """End a stream with an error event."""
         try:
             async with asyncio.timeout(self.context.settings.stall_timeout_s):
                 await client_response.write(event)
                 await client_response.write_eof()
         except TimeoutError as error:
-            raise ConnectionResetError("the caller does not read") from error
+            raise ConnectionResetError("client stopped reading") from error
 
 
 async def cancel_run(context: EntryContext, target: Target, run_id: str) -> None:
-    """Tell an engine that nobody waits for a run any more."""
+    """Cancel a run at an engine; failures are ignored."""
     url = f"http://{target.address}/runs/{run_id}"
     try:
         async with context.run_control_session.delete(url, timeout=ClientTimeout(total=CANCEL_TIMEOUT_S)):
@@ -252,7 +254,7 @@
     stream: bool,
     on_first_byte: FirstByteCallback,
 ) -> Relay:
-    """Return the relay for an engine's answers; each attempt starts from nothing."""
+    """Return the relay for engine responses."""
 
     async def relay(started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
         response_relay = EngineRelay(context, incoming, request, on_first_byte)
@@ -266,7 +268,7 @@
 def plain_relay(
     context: EntryContext, incoming: IncomingRequest, request: web.Request, on_first_byte: FirstByteCallback
 ) -> Relay:
-    """Return the relay for a plain service's answer, passed on as it comes."""
+    """Return the relay for a plain service's response, which is always streamed."""
 
     async def relay(started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
         upstream = started.response
@@ -296,21 +298,21 @@
 def _abort_connection(
     started: StartedAttempt, request: web.Request, client_response: web.StreamResponse
 ) -> Err[Failure]:
-    """Cut the caller's connection, so that a broken answer cannot be taken for a whole one."""
+    """Reset the client's connection, so that it detects the truncation."""
     started.attempt.lose()
     if request.transport is not None:
         request.transport.abort()
     failure = Failure(
         ErrorKind.ENDPOINT_FAILED,
         started.attempt.ran,
-        "the answer broke off",
+        "the response was interrupted",
         partial_response=client_response,
     )
     return Err(failure)
 
 
 async def read_chunk(upstream: ClientResponse, deadline: float, stall_timeout_s: float) -> bytes | None:
-    """Return what is buffered, empty at the end, None where the answer broke or stalled."""
+    """Return the bytes that have arrived, empty at the end, None if the response failed or stalled."""
     timeout_s = min(stall_timeout_s, deadline - monotonic())
     try:
         async with asyncio.timeout(timeout_s):
--- a/stairquay/entry/replies.py
+++ b/stairquay/entry/replies.py
@@ -1,4 +1,4 @@
-"""Refusals as callers see them: the OpenAI error envelope, with what is true of the run."""
+"""Encodes refusals as OpenAI error responses, with the execution status of the request."""
 
 import math
 
@@ -12,7 +12,7 @@
 
 
 def refusal_response(refusal: Refusal, request_id: str) -> web.Response:
-    """Return the answer to a request that was refused."""
+    """Return the HTTP response for a refusal."""
     headers = {REQUEST_ID_HEADER: request_id, EXECUTION_STATUS_HEADER: refusal.ran.value}
     if refusal.effective_retry_after_s is not None:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.effective_retry_after_s)))
@@ -26,7 +26,7 @@
 
 
 def error_event(refusal: Refusal, request_id: str) -> bytes:
-    """Return the event that ends a stream that broke after it had begun."""
+    """Return the server-sent event that ends an interrupted stream."""
     return b"\n\ndata: " + _encode_error(refusal, request_id) + b"\n\n"
 
 
--- a/stairquay/entry/server.py
+++ b/stairquay/entry/server.py
@@ -1,4 +1,4 @@
-"""The callers' side: HTTP routes, keys, limits, and the way of a request through the entry."""
+"""HTTP server of the entry: routes, authentication, admission and dispatch of requests."""
 
 import hashlib
 import secrets
@@ -26,14 +26,14 @@
 
 MODELS_PATH = "/v1/models"
 CLIENT_CLOSED_REQUEST = 499
-"""Status of an answer that nobody reads; it is never sent."""
+"""Status for a client that disconnected; never sent."""
 BEARER = "Bearer "
 
 Handler = Callable[[web.Request, str], Awaitable[Result[web.StreamResponse, Refusal]]]
 
 
 class EntryServer:
-    """Handles callers' requests; keeps nothing between them but the context."""
+    """Handles clients' requests."""
 
     def __init__(self, context: EntryContext, claims: Claims) -> None:
         self.context = context
@@ -42,7 +42,7 @@
         self.runner = Runner(context, self.routes)
 
     def route_table(self) -> list[web.RouteDef]:
-        """Return the routes, the plain services' catch-all last."""
+        """Return the routes; the catch-all for plain services is last."""
         return [
             web.get(MODELS_PATH, self.handle_models),
             web.post(CHAT_PATH, self.handle_prompt),
@@ -51,7 +51,7 @@
         ]
 
     async def handle_models(self, request: web.Request) -> web.StreamResponse:
-        """List the models that the caller's workspace may use."""
+        """List the models that the client's workspace may use."""
         request_id = new_request_id()
         prechecked = self._precheck(request)
         if isinstance(prechecked, Err):
@@ -72,11 +72,10 @@
         return await self._serve(request, self._run_prompt)
 
     async def handle_plain(self, request: web.Request) -> web.StreamResponse:
-        """Run a call of a plain service."""
+        """Proxy a call of a plain service."""
         return await self._serve(request, self._run_plain)
 
     async def _serve(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Run a handler with a request id, and turn a refusal into its answer."""
         request_id = new_request_id()
         self.context.in_flight += 1
         self.context.metrics.in_flight.set(self.context.in_flight)
@@ -142,7 +141,7 @@
         return await self._run_limited(incoming, claim_request(request, options, plain_body), steps)
 
     def _precheck(self, request: web.Request) -> Result[tuple[Workspace, RequestOptions], Refusal]:
-        """Check all that can be checked before a body is read."""
+        """Check readiness, API key and headers, before the body is read."""
         if self.context.refusing:
             return Err(Refusal(ErrorKind.STOPPING))
         if not self.context.view.ready():
@@ -169,7 +168,6 @@
     async def _run_limited(
         self, incoming: IncomingRequest, claim: ClaimRequest | None, steps: AttemptSteps
     ) -> Result[web.StreamResponse, Refusal]:
-        """Run work within the workspace's limits and the service's slots."""
         workspace = incoming.workspace
         metrics = self.context.metrics
         labels = (metrics.labels.of(workspace.id), incoming.service.id)
@@ -198,7 +196,6 @@
     async def _run_claimed(
         self, incoming: IncomingRequest, claim: ClaimRequest | None, steps: AttemptSteps
     ) -> Result[web.StreamResponse, Refusal]:
-        """Run work, under a claim where the caller gave an idempotency key."""
         if claim is None:
             return await self.runner.run(incoming, steps)
         key = claim_key(incoming.workspace.id, claim.key)
@@ -223,7 +220,7 @@
 
 
 def new_request_id() -> str:
-    """Return an id that no other request has."""
+    """Return a random request id."""
     return "req-" + secrets.token_hex(12)
 
 
--- a/stairquay/entry/targets.py
+++ b/stairquay/entry/targets.py
@@ -1,4 +1,4 @@
-"""Where an attempt goes: asked from the prompt's router, or chosen here where no router answers."""
+"""Chooses the endpoint of an attempt: by the prompt's router, or locally if no router answers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine, Mapping
@@ -17,7 +17,7 @@
 from stairquay.entry.context import EntryContext
 
 SUSPECT_S = 2.0
-"""Seconds for which a router that did not answer is tried last."""
+"""Time for which a router that did not answer is tried last."""
 
 NO_ENDPOINT_RETRY_AFTER_S = 1.0
 REPORT_TIMEOUT_S = 1.0
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """An endpoint to try. `router` and `ticket` name the decision, where a router made it."""
+    """An endpoint to try. ids: block ids; router, ticket: the routing decision, if a router made it."""
 
     endpoint: str
     address: str
@@ -37,34 +37,34 @@
 
 @dataclass(frozen=True)
 class PriorAttempts:
-    """What a request's earlier attempts taught: endpoints to use last, and versions that endpoints run."""
+    """What earlier attempts showed: endpoints to avoid, and weight versions by endpoint."""
 
     avoided: frozenset[str] = frozenset()
     versions: Mapping[str, str] = field(default_factory=dict)
 
 
 Chooser = Callable[[PriorAttempts, float], Awaitable[Result[Target, Refusal]]]
-"""Returns where to go, given earlier attempts and the monotonic deadline."""
+"""Chooses a target, given earlier attempts and the deadline in monotonic seconds."""
 
 
 @dataclass
 class Suspects:
-    """Routers that did not answer, by address, and until when they are tried last."""
+    """Routers that did not answer, by address, until monotonic times."""
 
     suspected_until: dict[str, float] = field(default_factory=dict)
 
     def add(self, address: str) -> None:
-        """Suspect a router for a while."""
+        """Suspect a router for `SUSPECT_S`."""
         self.suspected_until[address] = monotonic() + SUSPECT_S
 
     def order(self, addresses: list[str]) -> list[str]:
-        """Return the addresses, suspected ones last, otherwise in their order."""
+        """Return the addresses with suspected ones last (stable)."""
         now = monotonic()
         return sorted(addresses, key=lambda address: self.suspected_until.get(address, 0.0) > now)
 
 
 class RouteClient:
-    """Asks the owner of a prompt where it runs, then the next owners in rank."""
+    """Asks routers for routing decisions, in the prompt's rendezvous-hashing order."""
 
     def __init__(self, context: EntryContext) -> None:
         self.context = context
@@ -72,7 +72,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def chooser(self, service: Service, workspace: Workspace, prompt: Prompt, turn: int) -> Chooser:
-        """Return a chooser for one prompt."""
+        """Return a chooser that asks the prompt's routers."""
 
         async def choose(prior: PriorAttempts, deadline: float) -> Result[Target, Refusal]:
             request = RouteRequest(
@@ -104,7 +104,7 @@
         cached_tokens: int = 0,
         version: str = "",
     ) -> None:
-        """Tell the router that decided what became of the run, without waiting for it."""
+        """Report a run's outcome to the router that placed it, without waiting."""
         if not target.ticket:
             return
         request = ReportRequest(
@@ -117,7 +117,7 @@
         self.run_in_background(self._send_report(target.router, request))
 
     def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run work for which no caller waits."""
+        """Run a coroutine as a task."""
         task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -130,7 +130,7 @@
         return max(0.0, min(self.context.settings.import_wait_s, deadline - monotonic()))
 
     async def _request_route(self, address: str, request: RouteRequest, deadline: float) -> RouteReply | None:
-        """Return a router's decision, once its import is over; None where it does not answer."""
+        """Return a router's decision once its import is done, None without an answer."""
         call = self.context.channels.stub(address).Route(request)
         try:
             async with asyncio.timeout(self.context.settings.route_timeout_s):
@@ -146,7 +146,7 @@
         return reply
 
     async def _wait_for_import(self, call: grpc.aio.UnaryStreamCall, address: str, deadline: float) -> None:
-        """Wait for the import; where the router falls silent, the run goes on and recomputes."""
+        """Wait for the import of cached blocks; after a timeout, the engine recomputes them."""
         try:
             async with asyncio.timeout(self._import_wait_s(deadline)):
                 await call.read()
@@ -171,11 +171,9 @@
 def choose_locally(
     context: EntryContext, service: Service, excluded: frozenset[str]
 ) -> Result[Target, Refusal]:
-    """Return the less loaded of two endpoints drawn by chance, by this entry's own runs.
+    """Return the endpoint with fewer runs of this entry, of two chosen at random.
 
-    Of two alike, one in the box's own data hall goes first.
-
-    No identities go with it, so that nothing kept is used: which version runs is not known here.
+    Ties go to the box's own data hall. No block ids are sent, since the weight version is not known here.
     """
     usable = context.usable_endpoints(service)
     if not usable:
@@ -190,7 +188,7 @@
 
 
 def plain_chooser(context: EntryContext, service: Service) -> Chooser:
-    """Return a chooser for a plain service."""
+    """Return a chooser for a plain service, which chooses locally."""
 
     async def choose(prior: PriorAttempts, _: float) -> Result[Target, Refusal]:
         return choose_locally(context, service, prior.avoided)
--- a/stairquay/entry/upstream.py
+++ b/stairquay/entry/upstream.py
@@ -1,7 +1,7 @@
-"""One attempt at an endpoint: send the request, read the head of the answer, and judge it.
+"""Sends an attempt to an endpoint and classifies the response headers.
 
-An attempt counts as sent from the moment that it has a connection, before its first byte can
-leave. The client library may not send it again on its own: that attempt ends instead.
+An attempt counts as sent once it has a connection, before its first byte is written. If the HTTP client
+tries to resend it, it fails.
 """
 
 import asyncio
@@ -40,12 +40,12 @@
 
 
 class DuplicateSendError(ClientError):
-    """Raised in place of a second send of the same attempt."""
+    """Raised when the HTTP client tries to send an attempt a second time."""
 
 
 @dataclass(frozen=True)
 class OutgoingRequest:
-    """A request as it goes to an endpoint. `echoed`: the answer must carry the run's id."""
+    """A request to an endpoint. verify_run_id: reject a response that carries another run's id."""
 
     method: str
     url: str
@@ -56,11 +56,11 @@
 
 @dataclass(frozen=True)
 class Failure:
-    """Why an attempt gave no answer.
+    """Why an attempt failed.
 
-    fault: whether the endpoint is to blame; leaving: it said that it takes no new work;
-    version: what it runs, where it refused for running another weight version;
-    answered: the answer that ended in an error after it had begun to reach the caller.
+    endpoint_fault: counts towards ejection and the retry budget; leaving: the endpoint is shutting down;
+    version: the endpoint's weight version, if it refused for another one;
+    partial_response: the response that was interrupted after it had been started.
     """
 
     kind: ErrorKind
@@ -73,10 +73,9 @@
 
 
 def open_session(connect_timeout_s: float, reuse: bool) -> ClientSession:
-    """Return a session for attempts: no cookies, no redirects, no decoding, no shared state.
+    """Return a session for attempts, without cookies, decompression or default headers.
 
-    Without `reuse`, every attempt has a connection of its own, so that none is lost to an endpoint
-    that just then closes an idle one.
+    Without `reuse`, every attempt has a new connection, since an endpoint may close idle ones at any time.
     """
     trace = TraceConfig()
     trace.on_connection_create_end.append(_on_connected)
@@ -106,7 +105,7 @@
     deadline: float,
     first_byte_timeout_s: float,
 ) -> Result[ClientResponse, Failure]:
-    """Send an attempt and return the answer's head, or why there is none."""
+    """Send an attempt and wait for the response headers."""
     timeout_s = min(deadline - monotonic(), first_byte_timeout_s)
     try:
         async with asyncio.timeout(timeout_s):
@@ -119,9 +118,9 @@
                 trace_request_ctx=attempt,
             )
     except TimeoutError:
-        return Err(_fail_attempt(attempt, _timeout_kind(deadline), "no answer in time"))
+        return Err(_fail_attempt(attempt, _timeout_kind(deadline), "no response headers in time"))
     except (ClientConnectorError, ConnectionTimeoutError):
-        return Err(_fail_attempt(attempt, ErrorKind.ENDPOINT_FAILED, "no connection"))
+        return Err(_fail_attempt(attempt, ErrorKind.ENDPOINT_FAILED, "could not connect"))
     except (ClientError, ValueError) as error:
         return Err(_fail_attempt(attempt, ErrorKind.ENDPOINT_FAILED, type(error).__name__))
     return _classify_response(response, attempt, outgoing.verify_run_id)
@@ -139,11 +138,10 @@
 def _classify_response(
     response: ClientResponse, attempt: Attempt, verify_run_id: bool
 ) -> Result[ClientResponse, Failure]:
-    """Return the response if it is an answer to this attempt."""
     if verify_run_id and response.headers.get(RUN_ID_HEADER, attempt.run_id) != attempt.run_id:
         response.close()
         attempt.lose()
-        return Err(Failure(ErrorKind.ENDPOINT_GARBAGE, attempt.ran, "an answer to another request"))
+        return Err(Failure(ErrorKind.ENDPOINT_GARBAGE, attempt.ran, "the response carries another run's id"))
     if response.headers.get(NOT_RUN_HEADER) == TRUE:
         response.close()
         attempt.refuse()
@@ -162,7 +160,7 @@
     return Failure(
         ErrorKind.ENDPOINT_REFUSED,
         ExecutionStatus.NOT_RUN,
-        "the endpoint is leaving" if leaving else "the endpoint refused",
+        "the endpoint accepts no new requests" if leaving else "the endpoint refused the request",
         endpoint_fault=False,
         leaving=leaving,
         version=version,
@@ -170,6 +168,6 @@
 
 
 def parse_count_header(response: ClientResponse, name: str) -> int:
-    """Return a count from a header, 0 where it is missing or no number."""
+    """Return a count from a header, 0 if it is missing or not a number."""
     text = response.headers.get(name, "")
     return int(text) if text.isdecimal() else 0
