--- a/stairquay/entry/prompts.py
+++ b/stairquay/entry/prompts.py
@@ -9,8 +9,8 @@
 from stairquay.core.identity import identify_prompt, workspace_key
 from stairquay.core.models import Service, ServiceKind, Workspace, allowed
 from stairquay.entry.attempts import AttemptSteps, IncomingRequest
-from stairquay.entry.callers import PromptRequest, engine_body
 from stairquay.entry.context import EntryContext
+from stairquay.entry.openai_requests import PromptRequest, engine_body
 from stairquay.entry.relay import FirstByteCallback, cancel_run, engine_relay
 from stairquay.entry.targets import RouteClient, Target
 from stairquay.entry.upstream import RUN_ID_HEADER, OutgoingRequest
--- a/stairquay/entry/server.py
+++ b/stairquay/entry/server.py
@@ -15,10 +15,10 @@
 from stairquay.core.models import Service, ServiceKind, Workspace, allowed
 from stairquay.entry.attempts import AttemptSteps, IncomingRequest, Runner
 from stairquay.entry.bodies import read_body
-from stairquay.entry.callers import CHAT_PATH, COMPLETIONS_PATH, parse_prompt
 from stairquay.entry.context import EntryContext
 from stairquay.entry.marks import ClaimRequest, RequestOptions, claim_request, parse_request_options
 from stairquay.entry.once import Claims, claim_key
+from stairquay.entry.openai_requests import CHAT_PATH, COMPLETIONS_PATH, parse_prompt
 from stairquay.entry.plain import find_plain_service, plain_steps, read_plain_body
 from stairquay.entry.prompts import find_engine_service, largest_body_limit, prompt_steps
 from stairquay.entry.replies import REQUEST_ID_HEADER, refusal_response
--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -65,7 +65,7 @@
     Mechanism(
         "isolation",
         "our identities over a caller's own",
-        "stairquay/entry/callers.py",
+        "stairquay/entry/openai_requests.py",
         '{**request.body, "kv_transfer_params": params}',
         '{"kv_transfer_params": params, **request.body}',
         "A caller cannot name kept context by guessing",
@@ -89,7 +89,7 @@
     Mechanism(
         "version",
         "the version that a run expects",
-        "stairquay/entry/callers.py",
+        "stairquay/entry/openai_requests.py",
         '"version": version}',
         '"version": ""}',
         "An engine's report still names the old version",
