--- a/stairquay/entry/app.py
+++ b/stairquay/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry program."""
+"""Start-up, readiness and graceful shutdown of the entry program."""
 
 import asyncio
 import random
@@ -26,12 +26,12 @@
 from stairquay.entry.upstream import open_session
 
 ROLE = "entry"
-CLOSE_S = 1.0
-"""Seconds that the server gives to requests which are left when `drain_s` is over."""
+SHUTDOWN_TIMEOUT_S = 1.0
+"""Time the HTTP server gives to requests that outlast `drain_s`."""
 
 
 async def run_entry(settings: Settings, entry: EntrySettings) -> None:
-    """Run the entry until a stop signal, then let every request under way finish."""
+    """Run the entry until a stop signal, then drain it."""
     view = View(settings.box.id, ROLE, settings.view.stale_s)
     platform = HttpPlatform(settings.platform.url, settings.platform.timeout_s)
     channels = RouterChannels(settings.internal_tls)
@@ -42,9 +42,9 @@
         view=view,
         platform=platform,
         channels=channels,
-        session=open_session(entry.connect_timeout_s, reuse=True),
-        once_session=open_session(entry.connect_timeout_s, reuse=False),
-        side_session=ClientSession(auto_decompress=False),
+        pooled_session=open_session(entry.connect_timeout_s, reuse=True),
+        unpooled_session=open_session(entry.connect_timeout_s, reuse=False),
+        run_control_session=ClientSession(auto_decompress=False),
         random=random.Random(),
     )
     claims = Claims(platform, settings.box.id, entry.claim_batch, entry.claim_timeout_s)
@@ -62,7 +62,7 @@
         entry.listen,
         handler_cancellation=True,
         auto_decompress=False,
-        shutdown_timeout=CLOSE_S,
+        shutdown_timeout=SHUTDOWN_TIMEOUT_S,
         max_field_size=entry.max_header_bytes,
         ssl_context=server_context(entry.tls),
         reuse_port=entry.reuse_port,
@@ -70,23 +70,23 @@
     tasks = Tasks()
     one_round = follow_routers(settings.view, entry.router, platform, channels)
     tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
-    logging.info("entry %s listens on %s", settings.box.id, entry.listen)
+    logging.info("entry %s listening on %s", settings.box.id, entry.listen)
     await until_stopped(tasks)
-    await _finish(context, entry)
+    await _drain(context, entry)
     await site.cleanup()
     await operations.cleanup()
     await tasks.cancel()
-    for session in (context.session, context.once_session, context.side_session):
+    for session in (context.pooled_session, context.unpooled_session, context.run_control_session):
         await session.close()
     await channels.close()
     await platform.close()
 
 
-async def _finish(context: EntryContext, entry: EntrySettings) -> None:
-    """Turn unready, serve on until the balancer has seen it, then finish what is under way."""
+async def _drain(context: EntryContext, entry: EntrySettings) -> None:
+    """Report not ready, wait for load balancers to notice, then refuse new requests and drain the others."""
     context.stopping = True
     await asyncio.sleep(entry.lame_duck_s)
     context.refusing = True
     finished = await wait_until(lambda: context.in_flight == 0, entry.drain_s)
     if not finished:
-        logging.warning("%d requests were still under way after drain_s", context.in_flight)
+        logging.warning("%d requests still in flight after drain_s", context.in_flight)
--- a/stairquay/entry/relay.py
+++ b/stairquay/entry/relay.py
@@ -1,7 +1,7 @@
-"""Passes answers on to callers: streams by the byte, whole answers in one piece.
+"""Relays responses from endpoints to clients, streamed or buffered.
 
-No answer is parsed while it is passed on. A stream that breaks is resumed from the same run at the
-exact offset; if that fails, it ends in a clear error. Bytes of two runs are never joined.
+An interrupted response is resumed from the same run at the exact byte offset; if that fails, a stream ends
+with an error event. Bytes of different runs are never joined.
 """
 
 import asyncio
@@ -15,17 +15,17 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.attempt import Attempt
 from stairquay.core.errors import ErrorKind, Refusal
-from stairquay.entry.attempts import Arrival, Begun, Relay
+from stairquay.entry.attempts import IncomingRequest, Relay, StartedAttempt
 from stairquay.entry.context import EntryContext
 from stairquay.entry.replies import REQUEST_ID_HEADER, error_event
 from stairquay.entry.targets import Target
-from stairquay.entry.upstream import OFFSET_HEADER, RUN_HEADER, Failure
+from stairquay.entry.upstream import OFFSET_HEADER, RUN_ID_HEADER, Failure
 
 STREAM_END = b"data: [DONE]\n\n"
 EVENT_STREAM = "text/event-stream"
 HTTP_OK = 200
-RESUME_TRIES = 3
-RESUME_PAUSE_S = 0.05
+MAX_RESUME_ATTEMPTS = 3
+RESUME_RETRY_STEP_S = 0.05
 CANCEL_TIMEOUT_S = 2.0
 
 HOP_BY_HOP = frozenset(
@@ -42,113 +42,117 @@
     ]
 )
 
-OnFirst = Callable[[], None]
-"""Called once, when the first byte of an answer is about to go to the caller."""
+FirstByteCallback = Callable[[], None]
+"""Called once, just before the first byte of a response goes to the client."""
 
 
-def end_to_end(message: web.Request | ClientResponse) -> dict[str, str]:
-    """Return the headers that a proxy passes on."""
-    named = message.headers.get("Connection", "").lower().split(",")
-    dropped = HOP_BY_HOP | {name.strip() for name in named}
-    return {key: value for key, value in message.headers.items() if key.lower() not in dropped}
+def end_to_end_headers(message: web.Request | ClientResponse) -> dict[str, str]:
+    """Return the headers that a proxy forwards (RFC 9110, section 7.6.1)."""
+    connection_headers = message.headers.get("Connection", "").lower().split(",")
+    hop_by_hop = HOP_BY_HOP | {name.strip() for name in connection_headers}
+    return {key: value for key, value in message.headers.items() if key.lower() not in hop_by_hop}
 
 
 @dataclass
 class Progress:
-    """How much of an answer has been read, and its last bytes."""
+    """Bytes of a response read so far, and the last of them."""
 
     offset: int = 0
     tail: bytes = b""
 
     def add(self, chunk: bytes) -> None:
-        """Count a chunk that was read."""
+        """Add a chunk that was read."""
         self.offset += len(chunk)
         self.tail = (self.tail + chunk[-len(STREAM_END) :])[-len(STREAM_END) :]
 
 
 class EngineRelay:
-    """Passes one engine answer on; whole answers are checked before a byte of them goes out.
+    """Relays one engine response; a buffered one is sent only if it is complete JSON.
 
-    `answer` is the caller's side of a stream, once its first byte is due.
+    client_response: a stream's response, once started.
     """
 
     def __init__(
-        self, context: EntryContext, arrival: Arrival, request: web.Request, on_first: OnFirst
+        self,
+        context: EntryContext,
+        incoming: IncomingRequest,
+        request: web.Request,
+        on_first_byte: FirstByteCallback,
     ) -> None:
         self.context = context
-        self.arrival = arrival
+        self.incoming = incoming
         self.request = request
-        self.on_first = on_first
+        self.on_first_byte = on_first_byte
         self.progress = Progress()
-        self.answer: web.StreamResponse | None = None
+        self.client_response: web.StreamResponse | None = None
 
-    async def stream(self, begun: Begun) -> Result[web.StreamResponse, Failure]:
-        """Pass a stream on as it comes."""
-        if begun.response.status != HTTP_OK:
-            return await self.whole(begun)
+    async def relay_stream(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        """Relay a stream; responses other than 200 are buffered."""
+        if started.response.status != HTTP_OK:
+            return await self.relay_buffered(started)
         try:
-            return await self._stream(begun)
+            return await self._copy_with_resume(started)
         finally:
-            begun.response.close()
+            started.response.close()
 
-    async def whole(self, begun: Begun) -> Result[web.StreamResponse, Failure]:
-        """Read an answer to its end, then pass it on."""
+    async def relay_buffered(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        """Read a response to its end, then relay it."""
         try:
-            return await self._whole(begun)
+            return await self._buffer_with_resume(started)
         finally:
-            begun.response.close()
-
-    async def _stream(self, begun: Begun) -> Result[web.StreamResponse, Failure]:
-        source: ClientResponse | None = begun.response
-        while source is not None:
-            before = self.progress.offset
-            await self._pump(source, begun)
-            source.close()
+            started.response.close()
+
+    async def _copy_with_resume(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        upstream: ClientResponse | None = started.response
+        while upstream is not None:
+            previous_offset = self.progress.offset
+            await self._copy_until_end(upstream, started)
+            upstream.close()
             if self.progress.tail == STREAM_END:
-                assert self.answer is not None
-                begun.attempt.finish()
-                await self.answer.write_eof()
-                return Ok(self.answer)
-            # A source that gave nothing will give nothing again: its run has ended without an end.
-            moved = self.progress.offset > before or source is begun.response
-            source = await self._resume(begun) if moved else None
-        return await self._broken(begun)
-
-    async def _pump(self, source: ClientResponse, begun: Begun) -> None:
-        """Pass on what comes until the source ends, breaks or stalls.
-
-        One timer watches both sides: a new one for every chunk would cost more than the chunk.
+                assert self.client_response is not None
+                started.attempt.finish()
+                await self.client_response.write_eof()
+                return Ok(self.client_response)
+            # A resumed response without new bytes means that the run ended without its end marker.
+            progressed = self.progress.offset > previous_offset or upstream is started.response
+            upstream = await self._resume(started) if progressed else None
+        return await self._end_broken_stream(started)
+
+    async def _copy_until_end(self, upstream: ClientResponse, started: StartedAttempt) -> None:
+        """Copy chunks to the client until the upstream response ends, fails or stalls.
+
+        One rescheduled timer covers reads and writes; a timer per chunk would be costly.
         """
         writing = False
         try:
-            async with asyncio.timeout(None) as limit:
+            async with asyncio.timeout(None) as stall_timer:
                 while True:
-                    limit.reschedule(self._stalled_at())
-                    chunk = await source.content.readany()
+                    stall_timer.reschedule(self._stall_deadline())
+                    chunk = await upstream.content.readany()
                     if not chunk:
                         return
-                    if self.answer is None:
-                        self.answer = await self._begin(begun)
+                    if self.client_response is None:
+                        self.client_response = await self._start_response(started)
                     self.progress.add(chunk)
                     writing = True
-                    await self.answer.write(chunk)
+                    await self.client_response.write(chunk)
                     writing = False
         except (ClientError, TimeoutError) as error:
             if writing:
-                raise ConnectionResetError("the caller is gone or does not read") from error
+                raise ConnectionResetError("client disconnected or stopped reading") from error
 
-    def _stalled_at(self) -> float:
-        """Return the loop time until which something must have moved."""
+    def _stall_deadline(self) -> float:
+        """Return the event-loop time by which the next chunk must be read and written."""
         now = monotonic()
-        left_s = min(self.context.settings.stall_timeout_s, self.arrival.deadline - now)
-        return asyncio.get_running_loop().time() + left_s
+        remaining_s = min(self.context.settings.stall_timeout_s, self.incoming.deadline - now)
+        return asyncio.get_running_loop().time() + remaining_s
 
-    async def _whole(self, begun: Begun) -> Result[web.StreamResponse, Failure]:
+    async def _buffer_with_resume(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
         body = bytearray()
-        stall_s = self.context.settings.stall_timeout_s
-        source: ClientResponse | None = begun.response
-        while source is not None:
-            chunk = await read_chunk(source, self.arrival.deadline, stall_s)
+        stall_timeout_s = self.context.settings.stall_timeout_s
+        upstream: ClientResponse | None = started.response
+        while upstream is not None:
+            chunk = await read_chunk(upstream, self.incoming.deadline, stall_timeout_s)
             if chunk:
                 self.progress.add(chunk)
                 body += chunk
@@ -156,142 +160,163 @@
                 break
             if chunk:
                 continue
-            source.close()
+            upstream.close()
             if _is_json(body):
-                begun.attempt.finish()
-                self.on_first()
-                return Ok(self._whole_answer(begun, bytes(body)))
-            source = await self._resume(begun) if chunk is None else None
-        begun.attempt.lose()
-        return Err(Failure(ErrorKind.ENDPOINT_GARBAGE, begun.attempt.ran, "the answer is not whole JSON"))
-
-    def _whole_answer(self, begun: Begun, body: bytes) -> web.Response:
+                started.attempt.finish()
+                self.on_first_byte()
+                return Ok(self._buffered_response(started, bytes(body)))
+            upstream = await self._resume(started) if chunk is None else None
+        started.attempt.lose()
+        return Err(
+            Failure(ErrorKind.ENDPOINT_GARBAGE, started.attempt.ran, "the response is not complete JSON")
+        )
+
+    def _buffered_response(self, started: StartedAttempt, body: bytes) -> web.Response:
         return web.Response(
-            status=begun.response.status,
+            status=started.response.status,
             body=body,
-            headers=self._headers(begun.response.headers.get("Content-Type", "application/json")),
+            headers=self._headers(started.response.headers.get("Content-Type", "application/json")),
         )
 
-    async def _begin(self, begun: Begun) -> web.StreamResponse:
-        answer = web.StreamResponse(headers=self._headers(EVENT_STREAM))
-        answer.headers["Cache-Control"] = "no-cache"
-        await answer.prepare(self.request)
-        self.on_first()
-        return answer
+    async def _start_response(self, started: StartedAttempt) -> web.StreamResponse:
+        client_response = web.StreamResponse(headers=self._headers(EVENT_STREAM))
+        client_response.headers["Cache-Control"] = "no-cache"
+        await client_response.prepare(self.request)
+        self.on_first_byte()
+        return client_response
 
     def _headers(self, content_type: str) -> dict[str, str]:
-        return {"Content-Type": content_type, REQUEST_ID_HEADER: self.arrival.request_id}
+        return {"Content-Type": content_type, REQUEST_ID_HEADER: self.incoming.request_id}
 
-    async def _resume(self, begun: Begun) -> ClientResponse | None:
-        """Return the rest of the same run's answer from the exact offset, or None."""
-        for number in range(RESUME_TRIES):
-            await asyncio.sleep(RESUME_PAUSE_S * number)
-            if monotonic() >= self.arrival.deadline:
+    async def _resume(self, started: StartedAttempt) -> ClientResponse | None:
+        """Return the run's response from the current offset, or None."""
+        for number in range(MAX_RESUME_ATTEMPTS):
+            await asyncio.sleep(RESUME_RETRY_STEP_S * number)
+            if monotonic() >= self.incoming.deadline:
                 return None
-            response = await self._ask_rest(begun.target, begun.attempt)
+            response = await self._request_remainder(started.target, started.attempt)
             if response is not None:
                 return response
         return None
 
-    async def _ask_rest(self, target: Target, attempt: Attempt) -> ClientResponse | None:
+    async def _request_remainder(self, target: Target, attempt: Attempt) -> ClientResponse | None:
         offset = str(self.progress.offset)
         url = f"http://{target.address}/runs/{attempt.run_id}/answer?from={offset}"
-        limit_s = min(self.context.settings.stall_timeout_s, self.arrival.deadline - monotonic())
+        timeout_s = min(self.context.settings.stall_timeout_s, self.incoming.deadline - monotonic())
         try:
-            async with asyncio.timeout(limit_s):
-                response = await self.context.side_session.get(url)
+            async with asyncio.timeout(timeout_s):
+                response = await self.context.run_control_session.get(url)
         except (ClientError, TimeoutError):
             return None
-        same_run = response.headers.get(RUN_HEADER) == attempt.run_id
-        same_place = response.headers.get(OFFSET_HEADER) == offset
-        if response.status == HTTP_OK and same_run and same_place:
+        same_run = response.headers.get(RUN_ID_HEADER) == attempt.run_id
+        same_offset = response.headers.get(OFFSET_HEADER) == offset
+        if response.status == HTTP_OK and same_run and same_offset:
             return response
         response.close()
         return None
 
-    async def _broken(self, begun: Begun) -> Result[web.StreamResponse, Failure]:
-        begun.attempt.lose()
-        expired = monotonic() >= self.arrival.deadline
+    async def _end_broken_stream(self, started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        started.attempt.lose()
+        expired = monotonic() >= self.incoming.deadline
         kind = ErrorKind.DEADLINE if expired else ErrorKind.ENDPOINT_FAILED
-        refusal = Refusal(kind, begun.attempt.ran, "the answer broke off")
-        if self.answer is not None:
+        refusal = Refusal(kind, started.attempt.ran, "the response was interrupted")
+        if self.client_response is not None:
             self.context.metrics.refusals.labels(kind.value, refusal.ran.value).inc()
-            await self._write_last(self.answer, error_event(refusal, self.arrival.request_id))
-        return Err(Failure(kind, refusal.ran, refusal.detail, answered=self.answer))
+            await self._write_error_event(
+                self.client_response, error_event(refusal, self.incoming.request_id)
+            )
+        return Err(Failure(kind, refusal.ran, refusal.detail, partial_response=self.client_response))
 
-    async def _write_last(self, answer: web.StreamResponse, event: bytes) -> None:
-        """End a broken stream; a caller that does not read is taken to be gone."""
+    async def _write_error_event(self, client_response: web.StreamResponse, event: bytes) -> None:
+        """End a stream with an error event."""
         try:
             async with asyncio.timeout(self.context.settings.stall_timeout_s):
-                await answer.write(event)
-                await answer.write_eof()
+                await client_response.write(event)
+                await client_response.write_eof()
         except TimeoutError as error:
-            raise ConnectionResetError("the caller does not read") from error
+            raise ConnectionResetError("client stopped reading") from error
 
 
 async def cancel_run(context: EntryContext, target: Target, run_id: str) -> None:
-    """Tell an engine that nobody waits for a run any more."""
+    """Cancel a run at an engine; failures are ignored."""
     url = f"http://{target.address}/runs/{run_id}"
     try:
-        async with context.side_session.delete(url, timeout=ClientTimeout(total=CANCEL_TIMEOUT_S)):
+        async with context.run_control_session.delete(url, timeout=ClientTimeout(total=CANCEL_TIMEOUT_S)):
             return
     except (ClientError, asyncio.TimeoutError):
         return
 
 
 def engine_relay(
-    context: EntryContext, arrival: Arrival, request: web.Request, stream: bool, on_first: OnFirst
+    context: EntryContext,
+    incoming: IncomingRequest,
+    request: web.Request,
+    stream: bool,
+    on_first_byte: FirstByteCallback,
 ) -> Relay:
-    """Return the relay for an engine's answers; each attempt starts from nothing."""
+    """Return the relay for engine responses."""
 
-    async def relay(begun: Begun) -> Result[web.StreamResponse, Failure]:
-        passing = EngineRelay(context, arrival, request, on_first)
-        return await (passing.stream(begun) if stream else passing.whole(begun))
+    async def relay(started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        response_relay = EngineRelay(context, incoming, request, on_first_byte)
+        return await (
+            response_relay.relay_stream(started) if stream else response_relay.relay_buffered(started)
+        )
 
     return relay
 
 
-def plain_relay(context: EntryContext, arrival: Arrival, request: web.Request, on_first: OnFirst) -> Relay:
-    """Return the relay for a plain service's answer, passed on as it comes."""
+def plain_relay(
+    context: EntryContext, incoming: IncomingRequest, request: web.Request, on_first_byte: FirstByteCallback
+) -> Relay:
+    """Return the relay for a plain service's response, which is always streamed."""
 
-    async def relay(begun: Begun) -> Result[web.StreamResponse, Failure]:
-        source = begun.response
-        answer = web.StreamResponse(status=source.status, reason=source.reason, headers=end_to_end(source))
-        answer.headers[REQUEST_ID_HEADER] = arrival.request_id
+    async def relay(started: StartedAttempt) -> Result[web.StreamResponse, Failure]:
+        upstream = started.response
+        client_response = web.StreamResponse(
+            status=upstream.status, reason=upstream.reason, headers=end_to_end_headers(upstream)
+        )
+        client_response.headers[REQUEST_ID_HEADER] = incoming.request_id
         try:
-            await answer.prepare(request)
-            on_first()
+            await client_response.prepare(request)
+            on_first_byte()
             while True:
-                chunk = await read_chunk(source, arrival.deadline, context.settings.stall_timeout_s)
+                chunk = await read_chunk(upstream, incoming.deadline, context.settings.stall_timeout_s)
                 if not chunk:
                     break
-                await answer.write(chunk)
+                await client_response.write(chunk)
             if chunk is None:
-                return _cut(begun, request, answer)
-            begun.attempt.finish()
-            await answer.write_eof()
-            return Ok(answer)
+                return _abort_connection(started, request, client_response)
+            started.attempt.finish()
+            await client_response.write_eof()
+            return Ok(client_response)
         finally:
-            source.close()
+            upstream.close()
 
     return relay
 
 
-def _cut(begun: Begun, request: web.Request, answer: web.StreamResponse) -> Err[Failure]:
-    """Cut the caller's connection, so that a broken answer cannot be taken for a whole one."""
-    begun.attempt.lose()
+def _abort_connection(
+    started: StartedAttempt, request: web.Request, client_response: web.StreamResponse
+) -> Err[Failure]:
+    """Reset the client's connection, so that it detects the truncation."""
+    started.attempt.lose()
     if request.transport is not None:
         request.transport.abort()
-    failure = Failure(ErrorKind.ENDPOINT_FAILED, begun.attempt.ran, "the answer broke off", answered=answer)
+    failure = Failure(
+        ErrorKind.ENDPOINT_FAILED,
+        started.attempt.ran,
+        "the response was interrupted",
+        partial_response=client_response,
+    )
     return Err(failure)
 
 
-async def read_chunk(source: ClientResponse, deadline: float, stall_s: float) -> bytes | None:
-    """Return what is buffered, empty at the end, None where the answer broke or stalled."""
-    limit_s = min(stall_s, deadline - monotonic())
+async def read_chunk(upstream: ClientResponse, deadline: float, stall_timeout_s: float) -> bytes | None:
+    """Return the bytes that have arrived, empty at the end, None if the response failed or stalled."""
+    timeout_s = min(stall_timeout_s, deadline - monotonic())
     try:
-        async with asyncio.timeout(limit_s):
-            return await source.content.readany()
+        async with asyncio.timeout(timeout_s):
+            return await upstream.content.readany()
     except (ClientError, TimeoutError):
         return None
 
--- a/stairquay/entry/replies.py
+++ b/stairquay/entry/replies.py
@@ -1,4 +1,4 @@
-"""Refusals as callers see them: the OpenAI error envelope, with what is true of the run."""
+"""Encodes refusals as OpenAI error responses, with the execution status of the request."""
 
 import math
 
@@ -8,29 +8,29 @@
 from stairquay.core.errors import Refusal
 
 REQUEST_ID_HEADER = "X-Request-Id"
-RAN_HEADER = "Stairquay-Run"
+EXECUTION_STATUS_HEADER = "Stairquay-Run"
 
 
 def refusal_response(refusal: Refusal, request_id: str) -> web.Response:
-    """Return the answer to a request that was refused."""
-    headers = {REQUEST_ID_HEADER: request_id, RAN_HEADER: refusal.ran.value}
+    """Return the HTTP response for a refusal."""
+    headers = {REQUEST_ID_HEADER: request_id, EXECUTION_STATUS_HEADER: refusal.ran.value}
     if refusal.effective_retry_after_s is not None:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.effective_retry_after_s)))
         headers["Retry-After-Ms"] = str(math.ceil(refusal.effective_retry_after_s * 1000))
     return web.Response(
         status=refusal.response.status,
-        body=_envelope(refusal, request_id),
+        body=_encode_error(refusal, request_id),
         headers=headers,
         content_type="application/json",
     )
 
 
 def error_event(refusal: Refusal, request_id: str) -> bytes:
-    """Return the event that ends a stream that broke after it had begun."""
-    return b"\n\ndata: " + _envelope(refusal, request_id) + b"\n\n"
+    """Return the server-sent event that ends an interrupted stream."""
+    return b"\n\ndata: " + _encode_error(refusal, request_id) + b"\n\n"
 
 
-def _envelope(refusal: Refusal, request_id: str) -> bytes:
+def _encode_error(refusal: Refusal, request_id: str) -> bytes:
     error: dict[str, str | float | None] = {
         "message": refusal.message,
         "type": refusal.response.type,
