--- a/stairquay/control/api.py
+++ b/stairquay/control/api.py
@@ -63,50 +63,50 @@
         try:
             value = msgspec.json.decode(await request.read())
         except msgspec.DecodeError as error:
-            return _refused(Refusal(ErrorKind.BAD_REQUEST, detail=f"the body is not JSON: {error}"))
+            return _refusal_response(Refusal(ErrorKind.BAD_REQUEST, detail=f"the body is not JSON: {error}"))
         decoded = decode(value, PlanRequest)
         if isinstance(decoded, Err):
-            return _mistaken(decoded.err_value)
-        outcome = await self.plans.propose(decoded.ok_value, await self._running())
+            return _mistakes_response(decoded.err_value)
+        outcome = await self.plans.propose(decoded.ok_value, await self._runtime_state())
         if isinstance(outcome, Err):
             self.metrics.plans.labels("refused").inc()
             found = outcome.err_value
-            return _refused(found) if isinstance(found, Refusal) else _mistaken(found)
+            return _refusal_response(found) if isinstance(found, Refusal) else _mistakes_response(found)
         self.metrics.plans.labels("proposed").inc()
-        return _reply({"plan": encode(redact(outcome.ok_value))})
+        return _json_response({"plan": encode(redact(outcome.ok_value))})
 
     async def read(self, request: web.Request) -> web.StreamResponse:
         """Return a plan."""
         outcome = await self.plans.read(request.match_info["plan"])
         if isinstance(outcome, Err):
-            return _refused(outcome.err_value)
-        return _reply({"plan": encode(redact(outcome.ok_value.plan))})
+            return _refusal_response(outcome.err_value)
+        return _json_response({"plan": encode(redact(outcome.ok_value.plan))})
 
     async def confirm(self, request: web.Request) -> web.StreamResponse:
         """Put a plan into force."""
         outcome = await self.plans.confirm(request.match_info["plan"])
         if isinstance(outcome, Err):
-            return _refused(outcome.err_value)
-        done = outcome.ok_value
-        if isinstance(done, Stale):
+            return _refusal_response(outcome.err_value)
+        result = outcome.ok_value
+        if isinstance(result, Stale):
             self.metrics.plans.labels("stale").inc()
-            return _refused(Refusal(ErrorKind.CONFLICT), changed=encode(done.changed))
+            return _refusal_response(Refusal(ErrorKind.CONFLICT), changed=encode(result.changed))
         self.metrics.plans.labels("confirmed").inc()
-        return _reply({"plan": encode(redact(done.plan)), "revision": done.revision})
+        return _json_response({"plan": encode(redact(result.plan)), "revision": result.revision})
 
     async def configuration(self, _: web.Request) -> web.StreamResponse:
         """Return the configuration in force at this control."""
-        held = self.view.configuration
-        rows = {row.key: _redact_value(row.value) for row in held.rows_by_key.values()}
+        configuration = self.view.configuration
+        rows = {row.key: _redact_value(row.value) for row in configuration.rows_by_key.values()}
         objects = {key: msgspec.json.decode(value) for key, value in rows.items() if value is not None}
-        return _reply({"revision": held.revision, "objects": objects})
+        return _json_response({"revision": configuration.revision, "objects": objects})
 
     async def status(self, _: web.Request) -> web.StreamResponse:
         """Return the state of the whole system."""
         found = await gather_status(self.view, self.channels)
-        return _reply({**encode(found), "behind": encode(found.behind)})
+        return _json_response({**encode(found), "behind": encode(found.behind)})
 
-    async def _running(self) -> RuntimeState:
+    async def _runtime_state(self) -> RuntimeState:
         found: SystemStatus = await gather_status(self.view, self.channels)
         versions = {item.id: item.version for item in found.endpoints}
         return RuntimeState(versions, found.kept_bytes_by_version)
@@ -115,10 +115,10 @@
     async def _authenticate(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         header = request.headers.get("Authorization", "")
         key = header.removeprefix(BEARER).strip()
-        hashed = hashlib.sha256(key.encode(errors="surrogateescape")).hexdigest()
-        known = [hmac.compare_digest(hashed, item) for item in self.settings.operator_key_hashes]
-        if not header.startswith(BEARER) or not any(known):
-            return _refused(Refusal(ErrorKind.UNAUTHENTICATED))
+        key_hash = hashlib.sha256(key.encode(errors="surrogateescape")).hexdigest()
+        matches = [hmac.compare_digest(key_hash, item) for item in self.settings.operator_key_hashes]
+        if not header.startswith(BEARER) or not any(matches):
+            return _refusal_response(Refusal(ErrorKind.UNAUTHENTICATED))
         return await handler(request)
 
 
@@ -133,27 +133,27 @@
 def _redact_value(value: str | None) -> str | None:
     if value is None or SECRET_FIELD not in value:
         return value
-    held = msgspec.json.decode(value)
-    held.pop(SECRET_FIELD, None)
-    return msgspec.json.encode(held).decode()
+    fields = msgspec.json.decode(value)
+    fields.pop(SECRET_FIELD, None)
+    return msgspec.json.encode(fields).decode()
 
 
-def _reply(body: dict[str, object]) -> web.Response:
+def _json_response(body: dict[str, object]) -> web.Response:
     return web.Response(body=msgspec.json.encode(body), content_type="application/json")
 
 
-def _mistaken(mistakes: list[Mistake]) -> web.Response:
+def _mistakes_response(mistakes: list[Mistake]) -> web.Response:
     refusal = Refusal(ErrorKind.BAD_REQUEST, detail=f"{len(mistakes)} mistakes")
-    return _refused(refusal, mistakes=encode(mistakes))
+    return _refusal_response(refusal, mistakes=encode(mistakes))
 
 
-def _refused(refusal: Refusal, **more: object) -> web.Response:
+def _refusal_response(refusal: Refusal, **extra_fields: object) -> web.Response:
     error = {
         "code": refusal.kind.value,
         "message": refusal.message,
         "run": refusal.ran.value,
         "retry_after_s": refusal.effective_retry_after_s,
-        **more,
+        **extra_fields,
     }
     body = msgspec.json.encode({"error": error})
     return web.Response(status=refusal.response.status, body=body, content_type="application/json")
--- a/stairquay/control/app.py
+++ b/stairquay/control/app.py
@@ -13,13 +13,13 @@
 from stairquay.adapters.rpc import RouterChannels
 from stairquay.adapters.settings import ControlSettings, KeepSettings, Settings
 from stairquay.control.api import OperatorApi
-from stairquay.control.leader import Leader, perform
+from stairquay.control.leader import Leader, run_while_leading
 from stairquay.control.orders import Reconciler
 from stairquay.control.plans import Plans
 from stairquay.control.upkeep import StoreUpkeep, TableUpkeep
 
 ROLE = "control"
-FINISH_S = 10.0
+SHUTDOWN_TIMEOUT_S = 10.0
 
 
 async def run_control(settings: Settings, control: ControlSettings) -> None:
@@ -38,7 +38,7 @@
         site = await listen(
             api.application(),
             control.listen,
-            shutdown_timeout=FINISH_S,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
             ssl_context=server_context(control.tls),
         )
         operations = await listen_for_operations(control.metrics, view.ready, metrics.text)
@@ -47,15 +47,15 @@
         tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
         tasks.start(leader.run())
         reconciler = Reconciler(view, leader, session, control, metrics)
-        tasks.start(perform(leader, reconciler.reconcile, control.reconcile_s))
-        stores = StoreUpkeep(view, leader, session, keep, metrics)
-        tasks.start(perform(leader, stores.tend, control.upkeep_s))
-        tables = TableUpkeep(platform, leader, control)
-        tasks.start(perform(leader, tables.tend, control.upkeep_s * 10))
+        tasks.start(run_while_leading(leader, reconciler.reconcile, control.reconcile_s))
+        store_upkeep = StoreUpkeep(view, leader, session, keep, metrics)
+        tasks.start(run_while_leading(leader, store_upkeep.run_once, control.upkeep_s))
+        table_upkeep = TableUpkeep(platform, leader, control)
+        tasks.start(run_while_leading(leader, table_upkeep.run_once, control.upkeep_s * 10))
         logging.info("control %s listens on %s", name, control.listen)
         await until_stopped(tasks)
         await tasks.cancel()
-        await leader.give_up()
+        await leader.release()
         await site.cleanup()
         await operations.cleanup()
     await channels.close()
--- a/stairquay/control/leader.py
+++ b/stairquay/control/leader.py
@@ -15,7 +15,7 @@
 from stairquay.core.row import Row
 
 LEASE_KEY = "lease/control"
-RENEWALS = 4
+RENEWALS_PER_HALF_LEASE = 4
 """Rounds in the part of a lease in which its holder may act."""
 
 
@@ -29,7 +29,7 @@
         self.metrics = metrics
         self.held: HeldLease | None = None
         self.observed: ObservedLease | None = None
-        self.taken_at = float("-inf")
+        self.acquired_at = float("-inf")
 
     def may_act(self) -> bool:
         """Tell whether this control may act now. Ask again after every wait."""
@@ -40,40 +40,40 @@
         """Return the fencing token of the lease held, 0 without one."""
         return self.held.row.token if self.held is not None else 0
 
-    def seconds_held(self) -> float:
+    def held_for_s(self) -> float:
         """Return for how long this control has held the lease without a break."""
-        return monotonic() - self.taken_at if self.may_act() else 0.0
+        return monotonic() - self.acquired_at if self.may_act() else 0.0
 
     async def run(self) -> None:
         """Take and renew the lease for ever."""
         while True:
-            await self.step()
+            await self.acquire_or_renew()
             self.metrics.leading.set(1 if self.may_act() else 0)
-            await asyncio.sleep(self.lease_s / (2 * RENEWALS))
+            await asyncio.sleep(self.lease_s / (2 * RENEWALS_PER_HALF_LEASE))
 
-    async def step(self) -> None:
+    async def acquire_or_renew(self) -> None:
         """Read the row, and write it where the lease is ours to renew or free to take."""
         read = await self.table.get(LEASE_KEY)
         if isinstance(read, Err):
             return
         row = read.ok_value
-        current = _lease(row)
-        if row is not None and current is not None and not self._is_ours(row, current):
+        current = _decode_lease(row)
+        if row is not None and current is not None and not self._is_own_row(row, current):
             self.held = None
             self.observed = observe(self.observed, current, row.revision, monotonic())
             if not self.observed.expired(monotonic()):
                 return
         await self._write(row, current)
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Free the lease at a planned stop, so that another control need not wait it out."""
         held, self.held = self.held, None
         if held is None:
             return
-        freed = LeaseRow("", held.row.token, 0.0, held.row.renewal + 1)
-        await self.table.commit(_commit(freed, held.revision))
+        released = LeaseRow("", held.row.token, 0.0, held.row.renewal + 1)
+        await self.table.commit(_lease_commit(released, held.revision))
 
-    def _is_ours(self, row: Row, current: LeaseRow) -> bool:
+    def _is_own_row(self, row: Row, current: LeaseRow) -> bool:
         """Tell whether the row is the one that this process itself wrote last."""
         return (
             self.held is not None
@@ -84,31 +84,31 @@
 
     async def _write(self, row: Row | None, current: LeaseRow | None) -> None:
         sent_at = monotonic()
-        ours = self.held is not None and current is not None and current.token == self.held.row.token
-        wanted = next_lease_row(current if ours else _foreign(current), self.name, self.lease_s)
-        outcome = await self.table.commit(_commit(wanted, row.revision if row is not None else 0))
+        renewing = self.held is not None and current is not None and current.token == self.held.row.token
+        new_row = next_lease_row(current if renewing else _without_holder(current), self.name, self.lease_s)
+        outcome = await self.table.commit(_lease_commit(new_row, row.revision if row is not None else 0))
         if not isinstance(outcome, Ok) or not isinstance(outcome.ok_value, Committed):
             return
-        if not ours:
-            self.taken_at = monotonic()
-            logging.info("lease taken, fencing token %d", wanted.token)
-        self.held = HeldLease(wanted, outcome.ok_value.revision, sent_at)
+        if not renewing:
+            self.acquired_at = monotonic()
+            logging.info("lease taken, fencing token %d", new_row.token)
+        self.held = HeldLease(new_row, outcome.ok_value.revision, sent_at)
 
 
-def _lease(row: Row | None) -> LeaseRow | None:
+def _decode_lease(row: Row | None) -> LeaseRow | None:
     if row is None or row.value is None:
         return None
     return msgspec.json.decode(row.value, type=LeaseRow)
 
 
-def _foreign(current: LeaseRow | None) -> LeaseRow | None:
+def _without_holder(current: LeaseRow | None) -> LeaseRow | None:
     """Return the row as another's: a lease that was lost is taken anew, under a higher token."""
     if current is None:
         return None
     return LeaseRow("", current.token, current.duration_s, current.renewal)
 
 
-def _commit(row: LeaseRow, revision: int) -> Commit:
+def _lease_commit(row: LeaseRow, revision: int) -> Commit:
     return Commit(
         token="lease-" + secrets.token_hex(12),
         conditions=(Condition(LEASE_KEY, revision),),
@@ -116,13 +116,13 @@
     )
 
 
-Duty = Callable[[], Awaitable[None]]
+LeaderTask = Callable[[], Awaitable[None]]
 """Something that only the holder of the lease does; it asks `may_act` again after every wait."""
 
 
-async def perform(leader: Leader, duty: Duty, period_s: float) -> None:
+async def run_while_leading(leader: Leader, task: LeaderTask, period_s: float) -> None:
     """Do a duty again and again while the lease is held."""
     while True:
         if leader.may_act():
-            await duty()
+            await task()
         await asyncio.sleep(period_s)
--- a/stairquay/control/orders.py
+++ b/stairquay/control/orders.py
@@ -104,4 +104,4 @@
 
     def _last_holder_is_silent(self) -> bool:
         """Tell whether all orders of the last holder of the lease have lapsed."""
-        return self.leader.seconds_held() > self.settings.order_validity_s + CLOCK_SKEW_S
+        return self.leader.held_for_s() > self.settings.order_validity_s + CLOCK_SKEW_S
--- a/stairquay/control/upkeep.py
+++ b/stairquay/control/upkeep.py
@@ -51,7 +51,7 @@
         self.bare_since: dict[tuple[str, str], float] = {}
         self.first_seen: dict[str, dict[str, float]] = {}
 
-    async def tend(self) -> None:
+    async def run_once(self) -> None:
         """Look at every store box once."""
         for box in self.view.membership.boxes.by_kind[BoxKind.STORE].values():
             if not self.leader.may_act():
@@ -113,7 +113,7 @@
         self.leader = leader
         self.settings = settings
 
-    async def tend(self) -> None:
+    async def run_once(self) -> None:
         """Look at all claims and plans once."""
         await self._expire(ONCE_PREFIX, self.settings.claim_retention_s)
         await self._expire(PLAN_PREFIX, self.settings.plan_retention_s)
