--- a/stairquay/control/api.py
+++ b/stairquay/control/api.py
@@ -13,7 +13,7 @@
 from stairquay.adapters.metrics import ControlMetrics
 from stairquay.adapters.rpc import RouterChannels
 from stairquay.adapters.settings import ControlSettings
-from stairquay.control.plans import Plans, Stale
+from stairquay.control.plans import PlanService, StalePlan
 from stairquay.control.status import SystemStatus, gather_status
 from stairquay.core.decode import decode, encode
 from stairquay.core.errors import ErrorKind, Refusal
@@ -34,7 +34,7 @@
         self,
         settings: ControlSettings,
         view: View,
-        plans: Plans,
+        plans: PlanService,
         channels: RouterChannels,
         metrics: ControlMetrics,
     ) -> None:
@@ -88,7 +88,7 @@
         if isinstance(outcome, Err):
             return _refusal_response(outcome.err_value)
         result = outcome.ok_value
-        if isinstance(result, Stale):
+        if isinstance(result, StalePlan):
             self.metrics.plans.labels("stale").inc()
             return _refusal_response(Refusal(ErrorKind.CONFLICT), changed=encode(result.changed))
         self.metrics.plans.labels("confirmed").inc()
--- a/stairquay/control/app.py
+++ b/stairquay/control/app.py
@@ -15,7 +15,7 @@
 from stairquay.control.api import OperatorApi
 from stairquay.control.leader import Leader, run_while_leading
 from stairquay.control.orders import Reconciler
-from stairquay.control.plans import Plans
+from stairquay.control.plans import PlanService
 from stairquay.control.upkeep import StoreUpkeep, TableUpkeep
 
 ROLE = "control"
@@ -32,7 +32,7 @@
     # A name of this process, not of the box: a restarted control is another holder.
     name = f"{settings.box.id}-{secrets.token_hex(4)}"
     leader = Leader(platform, name, control.lease_s, metrics)
-    plans = Plans(platform, settings.platform.timeout_s * 2)
+    plans = PlanService(platform, settings.platform.timeout_s * 2)
     api = OperatorApi(control, view, plans, channels, metrics)
     async with ClientSession() as session:
         site = await listen(
--- a/stairquay/control/orders.py
+++ b/stairquay/control/orders.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class EndpointReport:
     """An endpoint and what it last said of itself."""
 
     endpoint: EndpointSpec
@@ -53,39 +53,39 @@
     async def reconcile(self) -> None:
         """Look at every placement once."""
         configuration = self.view.configuration
-        pairs = []
+        reconciliations = []
         for placement in configuration.placements.values():
             service = configuration.services.get(placement.service)
             if service is not None:
-                pairs.append(self._reconcile_service(service, placement))
-        await asyncio.gather(*pairs)
+                reconciliations.append(self._reconcile_service(service, placement))
+        await asyncio.gather(*reconciliations)
 
     async def _reconcile_service(self, service: Service, placement: Placement) -> None:
-        standings = await self._look(service)
-        loading = sum(1 for item in standings if item.state.loading)
-        for item in standings:
-            wrong = placement.version not in (item.state.version, item.state.loading)
-            if not wrong or item.state.loading:
+        reports = await self._fetch_reports(service)
+        loading = sum(1 for item in reports if item.state.loading)
+        for item in reports:
+            outdated = placement.version not in (item.state.version, item.state.loading)
+            if not outdated or item.state.loading:
                 continue
             if loading >= placement.max_loading:
                 return
             loading += 1
-            await self._order(item, service, placement)
+            await self._send_load_order(item, service, placement)
 
-    async def _look(self, service: Service) -> list[Standing]:
-        async def look(endpoint: EndpointSpec) -> Standing | None:
+    async def _fetch_reports(self, service: Service) -> list[EndpointReport]:
+        async def fetch_report(endpoint: EndpointSpec) -> EndpointReport | None:
             box = self.view.membership.usable(endpoint.id)
             if box is None:
                 return None
             address = box.addresses["http"]
             found = await fetch_state(self.session, address, -1, self.settings.order_timeout_s)
-            return Standing(endpoint, address, found.ok_value) if isinstance(found, Ok) else None
+            return EndpointReport(endpoint, address, found.ok_value) if isinstance(found, Ok) else None
 
-        looked = await asyncio.gather(*(look(endpoint) for endpoint in service.endpoints))
-        return [item for item in looked if item is not None]
+        results = await asyncio.gather(*(fetch_report(endpoint) for endpoint in service.endpoints))
+        return [item for item in results if item is not None]
 
-    async def _order(self, item: Standing, service: Service, placement: Placement) -> None:
-        if not item.endpoint.checks_orders and not self._last_holder_is_silent():
+    async def _send_load_order(self, item: EndpointReport, service: Service, placement: Placement) -> None:
+        if not item.endpoint.checks_orders and not self._previous_orders_expired():
             return
         version = self.view.configuration.versions.get((service.id, placement.version))
         if version is None or not self.leader.may_act():
@@ -102,6 +102,6 @@
         if outcome == OrderOutcome.ACCEPTED:
             logging.info("endpoint %s loads version %s", item.endpoint.id, version.id)
 
-    def _last_holder_is_silent(self) -> bool:
+    def _previous_orders_expired(self) -> bool:
         """Tell whether all orders of the last holder of the lease have lapsed."""
         return self.leader.held_for_s() > self.settings.order_validity_s + CLOCK_SKEW_S
--- a/stairquay/control/plans.py
+++ b/stairquay/control/plans.py
@@ -23,11 +23,11 @@
 from stairquay.core.mistake import Mistake
 from stairquay.core.plan import PLAN_PREFIX, Basis, Plan, PlanRequest, PlanState, RuntimeState, make_plan
 
-SETTLE_PAUSE_S = 0.1
+CONFIRM_POLL_S = 0.1
 
 
 @dataclass(frozen=True)
-class Held:
+class StoredPlan:
     """A plan as the table has it."""
 
     plan: Plan
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Confirmed:
+class ConfirmedPlan:
     """A plan in force from `revision` on."""
 
     plan: Plan
@@ -43,18 +43,18 @@
 
 
 @dataclass(frozen=True)
-class Stale:
+class StalePlan:
     """Why a plan can no longer be confirmed: the rows that changed since it was made."""
 
     changed: tuple[Basis, ...]
 
 
-class Plans:
+class PlanService:
     """Makes, reads and confirms plans; keeps none itself."""
 
-    def __init__(self, platform: Platform, settle_s: float) -> None:
+    def __init__(self, platform: Platform, confirm_timeout_s: float) -> None:
         self.platform = platform
-        self.settle_s = settle_s
+        self.confirm_timeout_s = confirm_timeout_s
 
     async def propose(
         self, request: PlanRequest, running: RuntimeState
@@ -62,32 +62,32 @@
         """Make a plan on the table's own newest configuration and write it down."""
         read = await self.platform.changes(0, PREFIX)
         if isinstance(read, Err):
-            return Err(_down(read.err_value))
+            return Err(_platform_refusal(read.err_value))
         rows = read.ok_value.rows
         revision = max((row.revision for row in rows), default=0)
-        held = merge(Configuration(), rows, revision)
+        configuration = merge(Configuration(), rows, revision)
         plan_id = "plan-" + secrets.token_hex(8)
-        made = make_plan(request, held, running, plan_id, time.time(), _new_secret)
-        if isinstance(made, Err):
-            return Err(made.err_value)
-        plan = made.ok_value
-        commit = Commit(f"propose-{plan_id}", (Condition(_key(plan_id), 0),), (_write(plan),))
+        planned = make_plan(request, configuration, running, plan_id, time.time(), _new_secret)
+        if isinstance(planned, Err):
+            return Err(planned.err_value)
+        plan = planned.ok_value
+        commit = Commit(f"propose-{plan_id}", (Condition(_plan_key(plan_id), 0),), (_plan_write(plan),))
         written = await self.platform.commit(commit)
         if isinstance(written, Err):
-            return Err(_down(written.err_value))
+            return Err(_platform_refusal(written.err_value))
         return Ok(plan)
 
-    async def read(self, plan_id: str) -> Result[Held, Refusal]:
+    async def read(self, plan_id: str) -> Result[StoredPlan, Refusal]:
         """Return a plan."""
-        read = await self.platform.get(_key(plan_id))
+        read = await self.platform.get(_plan_key(plan_id))
         if isinstance(read, Err):
-            return Err(_down(read.err_value))
+            return Err(_platform_refusal(read.err_value))
         row = read.ok_value
         if row is None or row.value is None:
             return Err(Refusal(ErrorKind.NOT_FOUND, detail=f"plan {plan_id}"))
-        return Ok(Held(msgspec.json.decode(row.value, type=Plan), row.revision))
+        return Ok(StoredPlan(msgspec.json.decode(row.value, type=Plan), row.revision))
 
-    async def confirm(self, plan_id: str) -> Result[Confirmed | Stale, Refusal]:
+    async def confirm(self, plan_id: str) -> Result[ConfirmedPlan | StalePlan, Refusal]:
         """Put a plan into force, if nothing that it stands on has changed.
 
         To confirm a plan twice is the same as once. Where the answer of the write is lost, the
@@ -96,63 +96,67 @@
         read = await self.read(plan_id)
         if isinstance(read, Err):
             return read
-        held = read.ok_value
-        if held.plan.state == PlanState.CONFIRMED:
-            return Ok(Confirmed(held.plan, held.revision))
-        confirmed = replace(held.plan, state=PlanState.CONFIRMED)
-        outcome = await self.platform.commit(_confirmation(held, confirmed))
+        stored = read.ok_value
+        if stored.plan.state == PlanState.CONFIRMED:
+            return Ok(ConfirmedPlan(stored.plan, stored.revision))
+        confirmed = replace(stored.plan, state=PlanState.CONFIRMED)
+        outcome = await self.platform.commit(_confirm_commit(stored, confirmed))
         if isinstance(outcome, Err):
             if outcome.err_value == PlatformFault.UNREACHED:
-                return Err(_down(outcome.err_value))
-            return await self._settle(plan_id, confirmed)
+                return Err(_platform_refusal(outcome.err_value))
+            return await self._resolve_lost_reply(plan_id, confirmed)
         if isinstance(outcome.ok_value, Committed):
-            return Ok(Confirmed(confirmed, outcome.ok_value.revision))
-        return await self._conflict(plan_id, outcome.ok_value)
+            return Ok(ConfirmedPlan(confirmed, outcome.ok_value.revision))
+        return await self._resolve_conflict(plan_id, outcome.ok_value)
 
-    async def _settle(self, plan_id: str, confirmed: Plan) -> Result[Confirmed | Stale, Refusal]:
+    async def _resolve_lost_reply(
+        self, plan_id: str, confirmed: Plan
+    ) -> Result[ConfirmedPlan | StalePlan, Refusal]:
         """Read what became of a confirmation whose answer was lost."""
-        end = monotonic() + self.settle_s
-        while monotonic() < end:
+        deadline = monotonic() + self.confirm_timeout_s
+        while monotonic() < deadline:
             read = await self.read(plan_id)
             if isinstance(read, Ok) and read.ok_value.plan.state == PlanState.CONFIRMED:
-                return Ok(Confirmed(confirmed, read.ok_value.revision))
-            await asyncio.sleep(SETTLE_PAUSE_S)
+                return Ok(ConfirmedPlan(confirmed, read.ok_value.revision))
+            await asyncio.sleep(CONFIRM_POLL_S)
         detail = "whether the plan was confirmed is not known; read it or confirm it again"
         return Err(Refusal(ErrorKind.PLATFORM_DOWN, ExecutionStatus.UNKNOWN, detail))
 
-    async def _conflict(self, plan_id: str, conflict: Conflict) -> Result[Confirmed | Stale, Refusal]:
+    async def _resolve_conflict(
+        self, plan_id: str, conflict: Conflict
+    ) -> Result[ConfirmedPlan | StalePlan, Refusal]:
         """Tell a plan that another call has confirmed meanwhile from one that is out of date."""
         for row in conflict.rows:
-            if row.key == _key(plan_id) and row.value is not None:
+            if row.key == _plan_key(plan_id) and row.value is not None:
                 plan = msgspec.json.decode(row.value, type=Plan)
                 if plan.state == PlanState.CONFIRMED:
-                    return Ok(Confirmed(plan, row.revision))
+                    return Ok(ConfirmedPlan(plan, row.revision))
         changed = tuple(Basis(row.key, row.revision) for row in conflict.rows)
-        return Ok(Stale(changed))
+        return Ok(StalePlan(changed))
 
 
-def _confirmation(held: Held, confirmed: Plan) -> Commit:
-    basis = tuple(Condition(item.key, item.revision) for item in held.plan.basis)
-    writes = tuple(Write(change.key, change.after) for change in held.plan.changes)
+def _confirm_commit(stored: StoredPlan, confirmed: Plan) -> Commit:
+    basis = tuple(Condition(item.key, item.revision) for item in stored.plan.basis)
+    writes = tuple(Write(change.key, change.after) for change in stored.plan.changes)
     return Commit(
-        token=f"confirm-{held.plan.id}",
-        conditions=(Condition(_key(held.plan.id), held.revision), *basis),
-        writes=(*writes, _write(confirmed)),
+        token=f"confirm-{stored.plan.id}",
+        conditions=(Condition(_plan_key(stored.plan.id), stored.revision), *basis),
+        writes=(*writes, _plan_write(confirmed)),
     )
 
 
-def _key(plan_id: str) -> str:
+def _plan_key(plan_id: str) -> str:
     return PLAN_PREFIX + plan_id
 
 
-def _write(plan: Plan) -> Write:
-    return Write(_key(plan.id), msgspec.json.encode(plan).decode())
+def _plan_write(plan: Plan) -> Write:
+    return Write(_plan_key(plan.id), msgspec.json.encode(plan).decode())
 
 
 def _new_secret() -> str:
     return secrets.token_hex(32)
 
 
-def _down(fault: PlatformFault) -> Refusal:
+def _platform_refusal(fault: PlatformFault) -> Refusal:
     ran = ExecutionStatus.NOT_RUN if fault == PlatformFault.UNREACHED else ExecutionStatus.UNKNOWN
     return Refusal(ErrorKind.PLATFORM_DOWN, ran)
--- a/stairquay/control/status.py
+++ b/stairquay/control/status.py
@@ -10,7 +10,7 @@
 from stairquay.adapters.router_pb2 import StatusReply, StatusRequest
 from stairquay.adapters.rpc import RouterChannels
 
-ASK_TIMEOUT_S = 1.0
+STATUS_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True)
@@ -62,57 +62,59 @@
 async def gather_status(view: View, channels: RouterChannels) -> SystemStatus:
     """Ask every listed router, and put the answers together."""
     routers = view.routers()
-    replies = await asyncio.gather(*(_ask(channels, address) for address in routers.values()))
-    by_box = {box: reply for box, reply in zip(routers, replies, strict=True) if reply is not None}
-    newest = max([view.configuration.revision, *(reply.revision for reply in by_box.values())])
+    replies = await asyncio.gather(*(_fetch_status(channels, address) for address in routers.values()))
+    replies_by_box = {box: reply for box, reply in zip(routers, replies, strict=True) if reply is not None}
+    newest_revision = max(
+        [view.configuration.revision, *(reply.revision for reply in replies_by_box.values())]
+    )
     return SystemStatus(
-        revision=newest,
+        revision=newest_revision,
         list_as_of=view.membership.boxes.as_of,
         reach=view.reach().value,
-        processes=tuple(_processes(by_box, newest)),
-        endpoints=tuple(_endpoints(view, by_box)),
-        silent=tuple(sorted(set(routers) - set(by_box))),
-        kept_bytes_by_version=_kept(by_box),
+        processes=tuple(_merge_processes(replies_by_box, newest_revision)),
+        endpoints=tuple(_merge_endpoints(view, replies_by_box)),
+        silent=tuple(sorted(set(routers) - set(replies_by_box))),
+        kept_bytes_by_version=_stored_bytes_by_version(replies_by_box),
     )
 
 
-async def _ask(channels: RouterChannels, address: str) -> StatusReply | None:
+async def _fetch_status(channels: RouterChannels, address: str) -> StatusReply | None:
     try:
-        return await channels.stub(address).Status(StatusRequest(), timeout=ASK_TIMEOUT_S)
+        return await channels.stub(address).Status(StatusRequest(), timeout=STATUS_TIMEOUT_S)
     except grpc.aio.AioRpcError:
         return None
 
 
-def _processes(by_box: dict[str, StatusReply], newest: int) -> list[ProcessStatus]:
+def _merge_processes(replies_by_box: dict[str, StatusReply], newest_revision: int) -> list[ProcessStatus]:
     latest: dict[tuple[str, str], ProcessStatus] = {}
-    for box, reply in sorted(by_box.items()):
-        current = reply.revision == newest
+    for box, reply in sorted(replies_by_box.items()):
+        current = reply.revision == newest_revision
         own = ProcessStatus(box, "router", reply.revision, reply.list_as_of, reply.reach, 0.0, current)
         latest[box, "router"] = own
-    for reply in by_box.values():
+    for reply in replies_by_box.values():
         for item in reply.followers:
             key = (item.name, item.role)
             if item.role == "router" or (key in latest and latest[key].age_s <= item.age_s):
                 continue
-            current = item.revision == newest
+            current = item.revision == newest_revision
             latest[key] = ProcessStatus(
                 item.name, item.role, item.revision, item.list_as_of, "", item.age_s, current
             )
     return list(latest.values())
 
 
-def _endpoints(view: View, by_box: dict[str, StatusReply]) -> list[EndpointView]:
+def _merge_endpoints(view: View, replies_by_box: dict[str, StatusReply]) -> list[EndpointView]:
     placements = view.configuration.placements
     latest: dict[str, Any] = {}
-    for reply in by_box.values():
+    for reply in replies_by_box.values():
         for item in reply.endpoints:
             known = latest.get(item.id)
             if known is None or 0 <= item.age_s < known.age_s or known.age_s < 0:
                 latest[item.id] = item
-    found = []
+    views = []
     for item in latest.values():
         placement = placements.get(item.service)
-        found.append(
+        views.append(
             EndpointView(
                 id=item.id,
                 service=item.service,
@@ -125,17 +127,17 @@
                 age_s=item.age_s,
             )
         )
-    return sorted(found, key=lambda item: item.id)
+    return sorted(views, key=lambda item: item.id)
 
 
-def _kept(by_box: dict[str, StatusReply]) -> dict[str, int]:
+def _stored_bytes_by_version(replies_by_box: dict[str, StatusReply]) -> dict[str, int]:
     """Return kept bytes by version; routers that see the same store boxes count once."""
-    by_place: dict[tuple[str, str], int] = {}
-    for reply in by_box.values():
+    bytes_by_store_version: dict[tuple[str, str], int] = {}
+    for reply in replies_by_box.values():
         for item in reply.kept:
             key = (item.store, item.version)
-            by_place[key] = max(by_place.get(key, 0), item.bytes)
-    total: dict[str, int] = {}
-    for (_, version), size in by_place.items():
-        total[version] = total.get(version, 0) + size
-    return total
+            bytes_by_store_version[key] = max(bytes_by_store_version.get(key, 0), item.bytes)
+    bytes_by_version: dict[str, int] = {}
+    for (_, version), size in bytes_by_store_version.items():
+        bytes_by_version[version] = bytes_by_version.get(version, 0) + size
+    return bytes_by_version
--- a/stairquay/control/upkeep.py
+++ b/stairquay/control/upkeep.py
@@ -26,7 +26,7 @@
 from stairquay.core.row import Row
 
 CALL_TIMEOUT_S = 2.0
-DELETE_BATCH = 50
+DELETE_BATCH_ROWS = 50
 NO_INCARNATION = "none"
 
 ONCE_PREFIX = "once/"
@@ -48,61 +48,65 @@
         self.session = session
         self.keep = keep
         self.metrics = metrics
-        self.bare_since: dict[tuple[str, str], float] = {}
-        self.first_seen: dict[str, dict[str, float]] = {}
+        self.orphaned_since: dict[tuple[str, str], float] = {}
+        self.first_seen_by_store: dict[str, dict[str, float]] = {}
 
     async def run_once(self) -> None:
         """Look at every store box once."""
         for box in self.view.membership.boxes.by_kind[BoxKind.STORE].values():
             if not self.leader.may_act():
                 return
-            await self._tend_store(box)
+            await self._maintain_store(box)
 
-    async def _tend_store(self, box: Box) -> None:
+    async def _maintain_store(self, box: Box) -> None:
         address = box.addresses["http"]
         read = await fetch_catalogue(self.session, address, NO_INCARNATION, 0, CALL_TIMEOUT_S)
         if isinstance(read, Err):
             return
         await self._evict(box, address, read.ok_value)
-        await self._free(box, address, read.ok_value)
+        await self._free_orphaned(box, address, read.ok_value)
 
     async def _evict(self, box: Box, address: str, catalogue: Catalogue) -> None:
         segments = [change.segment for change in catalogue.changes if change.segment is not None]
         order = EVICTION_ORDERS[self.keep.eviction]
-        bare = catalogue.used - sum(segment_bytes(segment) for segment in segments)
-        inflow = self._inflow(box.id, segments)
-        excess = excess_bytes(catalogue.used, max(0, bare), inflow, catalogue.capacity)
-        chosen = choose_evictions(segments, excess, time.time(), order)
-        for segment in chosen:
+        orphaned_bytes = catalogue.used - sum(segment_bytes(segment) for segment in segments)
+        inflow = self._recent_inflow(box.id, segments)
+        excess = excess_bytes(catalogue.used, max(0, orphaned_bytes), inflow, catalogue.capacity)
+        evicted = choose_evictions(segments, excess, time.time(), order)
+        for segment in evicted:
             if not self.leader.may_act():
                 return
             await delete_manifest(self.session, address, segment.name, CALL_TIMEOUT_S)
             self.metrics.evictions.labels(box.id).inc()
 
-    def _inflow(self, store: str, segments: list[Segment]) -> int:
+    def _recent_inflow(self, store: str, segments: list[Segment]) -> int:
         """Return the bytes of segments first seen within the last grace period."""
         now = monotonic()
-        known = self.first_seen.get(store, {})
-        self.first_seen[store] = {segment.name: known.get(segment.name, now) for segment in segments}
+        previous = self.first_seen_by_store.get(store, {})
+        self.first_seen_by_store[store] = {
+            segment.name: previous.get(segment.name, now) for segment in segments
+        }
         since = now - self.keep.grace_s
-        seen = self.first_seen[store]
-        return sum(segment_bytes(segment) for segment in segments if seen[segment.name] > since and known)
+        first_seen = self.first_seen_by_store[store]
+        return sum(
+            segment_bytes(segment) for segment in segments if first_seen[segment.name] > since and previous
+        )
 
-    async def _free(self, box: Box, address: str, catalogue: Catalogue) -> None:
-        shown = {change.name for change in catalogue.changes}
-        bare = {(box.id, name) for name in catalogue.data if name not in shown}
+    async def _free_orphaned(self, box: Box, address: str, catalogue: Catalogue) -> None:
+        manifest_names = {change.name for change in catalogue.changes}
+        orphaned = {(box.id, name) for name in catalogue.data if name not in manifest_names}
         now = monotonic()
-        self._forget_shown(box.id, bare)
-        for key in bare:
-            since = self.bare_since.setdefault(key, now)
+        self._drop_recovered(box.id, orphaned)
+        for key in orphaned:
+            since = self.orphaned_since.setdefault(key, now)
             if now - since < self.keep.grace_s or not self.leader.may_act():
                 continue
             await free_data(self.session, address, key[1], CALL_TIMEOUT_S)
 
-    def _forget_shown(self, store: str, bare: set[tuple[str, str]]) -> None:
-        for key in list(self.bare_since):
-            if key[0] == store and key not in bare:
-                del self.bare_since[key]
+    def _drop_recovered(self, store: str, orphaned: set[tuple[str, str]]) -> None:
+        for key in list(self.orphaned_since):
+            if key[0] == store and key not in orphaned:
+                del self.orphaned_since[key]
 
 
 class TableUpkeep:
@@ -115,21 +119,23 @@
 
     async def run_once(self) -> None:
         """Look at all claims and plans once."""
-        await self._expire(ONCE_PREFIX, self.settings.claim_retention_s)
-        await self._expire(PLAN_PREFIX, self.settings.plan_retention_s)
+        await self._delete_expired(ONCE_PREFIX, self.settings.claim_retention_s)
+        await self._delete_expired(PLAN_PREFIX, self.settings.plan_retention_s)
 
-    async def _expire(self, prefix: str, retention_s: float) -> None:
+    async def _delete_expired(self, prefix: str, retention_s: float) -> None:
         read = await self.table.changes(0, prefix)
         if isinstance(read, Err):
             return
-        oldest = time.time() - retention_s
-        old = [row for row in read.ok_value.rows if row.value is not None and _written_at(row.value) < oldest]
-        for start in range(0, len(old), DELETE_BATCH):
+        cutoff = time.time() - retention_s
+        expired = [
+            row for row in read.ok_value.rows if row.value is not None and _written_at(row.value) < cutoff
+        ]
+        for start in range(0, len(expired), DELETE_BATCH_ROWS):
             if not self.leader.may_act():
                 return
-            await self._delete(old[start : start + DELETE_BATCH])
+            await self._delete_rows(expired[start : start + DELETE_BATCH_ROWS])
 
-    async def _delete(self, rows: list[Row]) -> None:
+    async def _delete_rows(self, rows: list[Row]) -> None:
         commit = Commit(
             token="expire-" + secrets.token_hex(12),
             conditions=tuple(Condition(row.key, row.revision) for row in rows),
--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -218,8 +218,8 @@
         "config",
         "the revisions that a plan stands on",
         "stairquay/control/plans.py",
-        "conditions=(Condition(_key(held.plan.id), held.revision), *basis),",
-        "conditions=(Condition(_key(held.plan.id), held.revision),),",
+        "conditions=(Condition(_plan_key(stored.plan.id), stored.revision), *basis),",
+        "conditions=(Condition(_plan_key(stored.plan.id), stored.revision),),",
         "Two operators confirm rival plans",
     ),
     Mechanism(
