--- a/stairquay/router/exporting.py
+++ b/stairquay/router/exporting.py
@@ -81,11 +81,11 @@
     async def _export(self, store: str, ticket: Ticket) -> None:
         service = self.state.view.configuration.services.get(ticket.service)
         box = self.state.view.membership.usable(ticket.endpoint)
-        live = self.state.stores().get(store)
+        live = self.state.live_stores().get(store)
         if service is None or box is None or live is None:
             return
-        resident = self.state.memories.of(ticket.endpoint).prefix_length(ticket.ids)
-        held = len(self.state.kept.contiguous_blocks(store, ticket.ids, 0))
+        resident = self.state.engine_caches.of(ticket.endpoint).prefix_length(ticket.ids)
+        held = len(self.state.stored_blocks.contiguous_blocks(store, ticket.ids, 0))
         self._renew(store, ticket, held)
         ids = ticket.ids[held:resident]
         size = len(ids) * block_bytes(service.costs)
@@ -116,24 +116,24 @@
         if isinstance(shown, Err):
             self.state.metrics.exports.labels(store, "failed").inc()
             return
-        self.state.kept.add(store, segment)
+        self.state.stored_blocks.add(store, segment)
         self.state.metrics.exports.labels(store, "done").inc()
 
     def _worth(self, ticket: Ticket) -> float:
         """Return the probability that the run's conversation returns."""
-        turns = self.state.families.turns(ticket.prompt.family)
-        return self.state.rates.probability(ticket.workspace, turns)
+        turns = self.state.turn_counter.turns(ticket.prompt.family)
+        return self.state.return_rates.probability(ticket.workspace, turns)
 
     def _store(self, service: Service, ticket: Ticket) -> str | None:
         """Return the family's own store, unless another holds most of the chain already.
 
         What a workspace's prompts share is kept in every store, so it draws no family to one.
         """
-        live = [key for key in service.stores if key in self.state.stores()]
+        live = [key for key in service.stores if key in self.state.live_stores()]
         if not live:
             return None
         order = ranked(ticket.prompt.family, live)
-        held = {key: len(self.state.kept.contiguous_blocks(key, ticket.ids, 0)) for key in order}
+        held = {key: len(self.state.stored_blocks.contiguous_blocks(key, ticket.ids, 0)) for key in order}
         most = max(order, key=lambda key: held[key])
         return most if held[most] > max(held[order[0]], len(ticket.ids) / 2) else order[0]
 
@@ -144,16 +144,16 @@
         bucket = self.budgets.setdefault(store, TokenBucket(rate, rate, rate, monotonic()))
         bucket.rate_s = rate
         link = self.state.link(store)
-        while link.importing or not bucket.overdraw(size, monotonic()):
+        while link.active_imports or not bucket.overdraw(size, monotonic()):
             await asyncio.sleep(IDLE_S)
 
     def _renew(self, store: str, ticket: Ticket, held: int) -> None:
         """Write anew when the segments of a returned prompt were used, and what they are worth."""
         now = monotonic()
         worth = self._worth(ticket)
-        blocks = self.state.kept.contiguous_blocks(store, ticket.ids, 0)[:held]
+        blocks = self.state.stored_blocks.contiguous_blocks(store, ticket.ids, 0)[:held]
         for name in {block.segment for block in blocks}:
-            segment = self.state.kept.segments_by_store[store][name]
+            segment = self.state.stored_blocks.segments_by_store[store][name]
             if now - self.renewed_at.get(name, float("-inf")) < RENEW_S:
                 continue
             self.renewed_at[name] = now
@@ -162,7 +162,7 @@
 
     async def _put(self, store: str, segment: Segment) -> None:
         """Renew a manifest; one that is gone stays gone, and the catalogue will say so."""
-        box = self.state.stores().get(store)
+        box = self.state.live_stores().get(store)
         if box is not None:
             await renew_manifest(self.session, box.addresses["http"], segment, RENEW_S)
 
--- a/stairquay/router/importing.py
+++ b/stairquay/router/importing.py
@@ -45,8 +45,8 @@
             return 0
         order = self._order(want, fresh)
         size = len(fresh) * order.block_bytes
-        self.state.link(want.import_.store).reserve(size, want.costs.link_bytes_s, monotonic())
-        self.state.memories.of(want.endpoint).touch(want.ids)
+        self.state.link(want.import_.store).start_import(size, want.costs.link_bytes_s, monotonic())
+        self.state.engine_caches.of(want.endpoint).touch(want.ids)
         task = asyncio.create_task(self._bring(want, order, size))
         for block in order.blocks:
             self.pending[want.endpoint, block.id] = task
@@ -66,7 +66,7 @@
         for index in fresh:
             place = want.import_.blocks[index]
             blocks.append(ImportBlock(want.ids[index], place.segment, place.index, place.checksum))
-        store = self.state.stores().get(want.import_.store)
+        store = self.state.live_stores().get(want.import_.store)
         return ImportOrder(
             store=_address(store),
             version=want.version,
@@ -84,9 +84,9 @@
             self.pending.pop((want.endpoint, block.id), None)
         brought = 0 if isinstance(outcome, Err) else outcome.ok_value.blocks
         missing = [block.id for block in order.blocks[brought:]]
-        self.state.memories.of(want.endpoint).drop(missing)
+        self.state.engine_caches.of(want.endpoint).drop(missing)
         moved = brought * order.block_bytes
-        self.state.link(store).finish(moved, monotonic() - started, want.costs.link_bytes_s)
+        self.state.link(store).finish_import(moved, monotonic() - started, want.costs.link_bytes_s)
         self._count(store, moved, bool(missing))
         return brought
 
--- a/stairquay/router/polling.py
+++ b/stairquay/router/polling.py
@@ -62,7 +62,7 @@
             self._take_events(endpoint, position, reported.events)
         else:
             # The events asked for were another life's; the next round asks from the first on.
-            self.state.memories.reset(endpoint)
+            self.state.engine_caches.reset(endpoint)
             position.last = 0
         position.incarnation = reported.incarnation
         membership = self.state.view.membership
@@ -71,7 +71,7 @@
         else:
             membership.on_alive(endpoint, reported.incarnation)
         if reported.cache_tokens:
-            self.state.memories.of(endpoint).capacity_tokens = reported.cache_tokens
+            self.state.engine_caches.of(endpoint).capacity_tokens = reported.cache_tokens
         report = LoadReport(
             taken_at=now - reported.age_s,
             queued_tokens=reported.queued_tokens,
@@ -85,7 +85,7 @@
         self.state.load(endpoint).on_report(report, now)
 
     def _take_events(self, endpoint: str, position: Position, events: tuple[CacheEvent, ...]) -> None:
-        memory = self.state.memories.of(endpoint)
+        memory = self.state.engine_caches.of(endpoint)
         for event in events:
             if event.number <= position.last:
                 continue
@@ -113,15 +113,15 @@
 
     def _take_catalogue(self, store: str, position: Position, catalogue: Catalogue) -> None:
         if catalogue.whole:
-            self.state.kept.reset(store)
+            self.state.stored_blocks.reset(store)
         for change in catalogue.changes:
             if change.segment is None:
-                self.state.kept.remove(store, change.name)
+                self.state.stored_blocks.remove(store, change.name)
             else:
-                self.state.kept.add(store, change.segment)
+                self.state.stored_blocks.add(store, change.segment)
         position.incarnation = catalogue.incarnation
         position.last = catalogue.last_change
-        self.state.stores_heard_at[store] = monotonic()
+        self.state.catalogue_received_at_by_store[store] = monotonic()
         self.state.metrics.kept_bytes.labels(store).set(catalogue.used)
 
     def _forget_gone_stores(self) -> None:
@@ -129,4 +129,4 @@
         for store in list(self.store_positions):
             if store not in live:
                 del self.store_positions[store]
-                self.state.kept.reset(store)
+                self.state.stored_blocks.reset(store)
--- a/stairquay/router/service.py
+++ b/stairquay/router/service.py
@@ -33,7 +33,7 @@
 from stairquay.core.routing import POLICIES, Decision, Demand
 from stairquay.router.exporting import Exporter
 from stairquay.router.importing import Importer, Want
-from stairquay.router.state import RouterState, Ticket, candidates
+from stairquay.router.state import RouterState, Ticket, find_candidates
 
 NO_ENDPOINT_RETRY_S = 1.0
 FOLLOWER_LIFE_S = 60.0
@@ -140,7 +140,7 @@
             load = self.state.load(endpoint)
             load.report = replace(load.report, version=version)
         excluded = frozenset(request.excluded)
-        found = candidates(self.state, service, prompt, excluded, now)
+        found = find_candidates(self.state, service, prompt, excluded, now)
         demand = Demand(prompt.tokens, service.time_weight)
         return self.policy(demand, found, service.costs, self.state.random)
 
@@ -170,7 +170,7 @@
         way = "import" if want is not None else "resident" if decision.resident_blocks else "compute"
         self.state.metrics.decisions.labels(service.id, way).inc()
         # The run itself leaves all of its blocks in memory; later prompts may count on them.
-        self.state.memories.of(ticket.endpoint).touch(ticket.ids)
+        self.state.engine_caches.of(ticket.endpoint).touch(ticket.ids)
         reply = RouteReply(
             ticket=ticket.number,
             endpoint=ticket.endpoint,
@@ -197,7 +197,7 @@
         if request.outcome == RUN_OUTCOME_FINISHED:
             self._finished(ticket, request.cached_tokens // BLOCK_TOKENS)
             return
-        self.state.memories.of(ticket.endpoint).drop(ticket.ids)
+        self.state.engine_caches.of(ticket.endpoint).drop(ticket.ids)
         if request.outcome == RUN_OUTCOME_LEAVING:
             self.state.view.membership.on_leaving(ticket.endpoint, load.report.incarnation)
         if request.outcome == RUN_OUTCOME_WRONG_VERSION:
@@ -205,9 +205,9 @@
 
     def _finished(self, ticket: Ticket, cached_blocks: int) -> None:
         """Learn from a run that ended well, and consider its context for export."""
-        self.state.memories.correct(ticket.endpoint, ticket.ids, cached_blocks)
-        turn = self.state.families.on_turn(ticket.prompt.family, ticket.turn)
-        self.state.rates.on_turn(ticket.workspace, turn)
+        self.state.engine_caches.correct(ticket.endpoint, ticket.ids, cached_blocks)
+        turn = self.state.turn_counter.on_turn(ticket.prompt.family, ticket.turn)
+        self.state.return_rates.on_turn(ticket.workspace, turn)
         self.exporter.offer(ticket)
 
     def _followers(self, now: float) -> list[FollowerStatus]:
@@ -245,7 +245,7 @@
 
     def _kept(self) -> list[KeptStatus]:
         found = []
-        for store, segments in self.state.kept.segments_by_store.items():
+        for store, segments in self.state.stored_blocks.segments_by_store.items():
             sizes: dict[str, int] = {}
             for segment in segments.values():
                 sizes[segment.version] = sizes.get(segment.version, 0) + segment_bytes(segment)
--- a/stairquay/router/state.py
+++ b/stairquay/router/state.py
@@ -14,17 +14,17 @@
 from stairquay.core.retention import ReturnRates, TurnCounter
 from stairquay.core.routing import Candidate, StoredRun
 
-SILENT_S = 3.0
+STALE_AFTER_S = 3.0
 """An endpoint not heard from for this long is used only where no other is left; a store box not at all."""
 
-LINK_GAIN = 0.3
+LINK_SPEED_EWMA_WEIGHT = 0.3
 """Weight of the newest import in the measured speed of a link."""
 
-TICKET_LIFE_S = 900.0
+TICKET_TTL_S = 900.0
 """Seconds after which a run that nobody reported on is forgotten."""
 
 
-TICKET_BITS = 48
+FIRST_TICKET_BITS = 48
 
 
 @dataclass
@@ -32,28 +32,28 @@
     """One store box's link: until when it is busy with our imports, and its measured speed."""
 
     busy_until: float = 0.0
-    bytes_s: float = 0.0
-    importing: int = 0
+    measured_bytes_per_s: float = 0.0
+    active_imports: int = 0
 
     def wait_s(self, now: float) -> float:
         """Return seconds until the link is free of our imports."""
         return max(0.0, self.busy_until - now)
 
-    def speed(self, assumed: float) -> float:
+    def bytes_per_s(self, default_bytes_per_s: float) -> float:
         """Return bytes a second: measured, or as assumed where nothing was measured."""
-        return self.bytes_s or assumed
+        return self.measured_bytes_per_s or default_bytes_per_s
 
-    def reserve(self, size: int, assumed: float, now: float) -> None:
+    def start_import(self, size: int, default_bytes_per_s: float, now: float) -> None:
         """Count an import that starts."""
-        self.importing += 1
-        self.busy_until = max(now, self.busy_until) + size / self.speed(assumed)
+        self.active_imports += 1
+        self.busy_until = max(now, self.busy_until) + size / self.bytes_per_s(default_bytes_per_s)
 
-    def finish(self, size: int, took_s: float, assumed: float) -> None:
+    def finish_import(self, size: int, duration_s: float, default_bytes_per_s: float) -> None:
         """Count an import that ended, and learn the link's speed from it."""
-        self.importing -= 1
-        if size and took_s > 0:
-            before = self.speed(assumed)
-            self.bytes_s = before + LINK_GAIN * (size / took_s - before)
+        self.active_imports -= 1
+        if size and duration_s > 0:
+            previous = self.bytes_per_s(default_bytes_per_s)
+            self.measured_bytes_per_s = previous + LINK_SPEED_EWMA_WEIGHT * (size / duration_s - previous)
 
 
 @dataclass(frozen=True)
@@ -80,19 +80,19 @@
     view: View
     random: Random
     metrics: RouterMetrics = field(default_factory=RouterMetrics)
-    memories: EngineCaches = field(default_factory=EngineCaches)
+    engine_caches: EngineCaches = field(default_factory=EngineCaches)
     loads_by_endpoint: dict[str, EndpointLoad] = field(default_factory=dict)
-    kept: StoredBlockIndex = field(default_factory=StoredBlockIndex)
+    stored_blocks: StoredBlockIndex = field(default_factory=StoredBlockIndex)
     links_by_store: dict[str, Link] = field(default_factory=dict)
-    stores_heard_at: dict[str, float] = field(default_factory=dict)
-    rates: ReturnRates = field(default_factory=ReturnRates)
-    families: TurnCounter = field(default_factory=TurnCounter)
+    catalogue_received_at_by_store: dict[str, float] = field(default_factory=dict)
+    return_rates: ReturnRates = field(default_factory=ReturnRates)
+    turn_counter: TurnCounter = field(default_factory=TurnCounter)
     tickets_by_number: dict[int, Ticket] = field(default_factory=dict)
     next_ticket: int = 0
 
     def __post_init__(self) -> None:
         # Reports on runs of an earlier life of this router must match none of this one's.
-        self.next_ticket = 1 + self.random.getrandbits(TICKET_BITS)
+        self.next_ticket = 1 + self.random.getrandbits(FIRST_TICKET_BITS)
 
     def load(self, endpoint: str) -> EndpointLoad:
         """Return the load of an endpoint, idle at first."""
@@ -105,22 +105,26 @@
     def engines(self) -> dict[str, Box]:
         """Return the boxes of all engines that services name, leaving ones too, by id."""
         boxes = self.view.membership.boxes.by_id
-        named = set()
+        endpoint_ids = set()
         for service in self.view.configuration.services.values():
             if service.kind == ServiceKind.ENGINE:
-                named |= {endpoint.id for endpoint in service.endpoints}
-        return {key: boxes[key] for key in named if key in boxes}
+                endpoint_ids |= {endpoint.id for endpoint in service.endpoints}
+        return {key: boxes[key] for key in endpoint_ids if key in boxes}
 
     def listed_stores(self) -> dict[str, Box]:
         """Return the store boxes that the list calls live, by id."""
         boxes = self.view.membership.boxes.by_kind[BoxKind.STORE]
         return {key: box for key, box in boxes.items() if self.view.membership.usable(key) is not None}
 
-    def stores(self) -> dict[str, Box]:
+    def live_stores(self) -> dict[str, Box]:
         """Return the store boxes that are listed as live and have answered of late, by id."""
-        since = monotonic() - SILENT_S
+        since = monotonic() - STALE_AFTER_S
         listed = self.listed_stores()
-        return {key: box for key, box in listed.items() if self.stores_heard_at.get(key, 0.0) >= since}
+        return {
+            key: box
+            for key, box in listed.items()
+            if self.catalogue_received_at_by_store.get(key, 0.0) >= since
+        }
 
     def open_ticket(self, ticket: Ticket) -> None:
         """Remember a run until it is reported on."""
@@ -129,33 +133,35 @@
     def expire_tickets(self, now: float) -> None:
         """Forget runs that nobody reported on, oldest first."""
         for number, ticket in list(self.tickets_by_number.items()):
-            if now - ticket.created_at < TICKET_LIFE_S:
+            if now - ticket.created_at < TICKET_TTL_S:
                 return
             del self.tickets_by_number[number]
             self.load(ticket.endpoint).on_finished()
 
 
-def candidates(
+def find_candidates(
     state: RouterState, service: Service, prompt: Prompt, excluded: frozenset[str], now: float
 ) -> list[Candidate]:
     """Return the endpoints that a prompt may run on; silent or excluded ones where no other is left."""
     usable = [item.id for item in service.endpoints if state.view.membership.usable(item.id) is not None]
-    heard = [key for key in usable if now - state.load(key).received_at <= SILENT_S]
-    pool = heard or usable
-    wanted = [key for key in pool if key not in excluded] or pool
+    reporting = [key for key in usable if now - state.load(key).received_at <= STALE_AFTER_S]
+    pool = reporting or usable
+    allowed = [key for key in pool if key not in excluded] or pool
     ids_by_version: dict[str, tuple[str, ...]] = {}
-    live = state.stores()
+    live = state.live_stores()
     stores = [key for key in service.stores if key in live]
-    found = []
-    for endpoint in wanted:
-        version = _version(state, service, endpoint)
+    candidates = []
+    for endpoint in allowed:
+        version = _reported_version(state, service, endpoint)
         if version not in ids_by_version:
             ids_by_version[version] = block_ids(prompt.chain, version)
-        found.append(_candidate(state, service, stores, endpoint, version, ids_by_version[version], now))
-    return found
+        candidates.append(
+            _make_candidate(state, service, stores, endpoint, version, ids_by_version[version], now)
+        )
+    return candidates
 
 
-def _version(state: RouterState, service: Service, endpoint: str) -> str:
+def _reported_version(state: RouterState, service: Service, endpoint: str) -> str:
     reported = state.load(endpoint).report.version
     if reported:
         return reported
@@ -163,7 +169,7 @@
     return placement.version if placement is not None else ""
 
 
-def _candidate(
+def _make_candidate(
     state: RouterState,
     service: Service,
     stores: list[str],
@@ -173,33 +179,33 @@
     now: float,
 ) -> Candidate:
     load = state.load(endpoint)
-    resident = state.memories.of(endpoint).prefix_length(ids)
+    resident_blocks = state.engine_caches.of(endpoint).prefix_length(ids)
     return Candidate(
         endpoint=endpoint,
         version=version,
         queued_tokens=load.queued_tokens(now, service.costs.prefill_tokens_s),
         running=load.running(),
-        resident_blocks=resident,
-        stored=_kept_runs(state, service, stores, ids, resident, now),
+        resident_blocks=resident_blocks,
+        stored=_stored_runs(state, service, stores, ids, resident_blocks, now),
         loading_s=0.0 if version else service.costs.load_s,
     )
 
 
-def _kept_runs(
+def _stored_runs(
     state: RouterState,
     service: Service,
     stores: list[str],
     ids: tuple[str, ...],
-    resident: int,
+    resident_blocks: int,
     now: float,
 ) -> tuple[StoredRun, ...]:
-    if resident == len(ids):
+    if resident_blocks == len(ids):
         return ()
     runs = []
     for store in stores:
-        blocks = state.kept.contiguous_blocks(store, ids, resident)
+        blocks = state.stored_blocks.contiguous_blocks(store, ids, resident_blocks)
         if blocks:
             link = state.link(store)
-            speed = link.speed(service.costs.link_bytes_s)
-            runs.append(StoredRun(store, blocks, link.wait_s(now), speed))
+            bytes_per_s = link.bytes_per_s(service.costs.link_bytes_s)
+            runs.append(StoredRun(store, blocks, link.wait_s(now), bytes_per_s))
     return tuple(runs)
