--- a/stairquay/router/app.py
+++ b/stairquay/router/app.py
@@ -21,7 +21,7 @@
 from stairquay.router.state import RouterState
 
 ROLE = "router"
-FINISH_S = 15.0
+SHUTDOWN_TIMEOUT_S = 15.0
 """Seconds that a stopping router gives to routes under way."""
 
 
@@ -51,8 +51,8 @@
         await until_stopped(tasks)
         stopping.set()
         await asyncio.sleep(router.lame_duck_s)
-        await wait_until(lambda: service.routing == 0, FINISH_S)
-        await server.stop(grace=FINISH_S)
+        await wait_until(lambda: service.active_routes == 0, SHUTDOWN_TIMEOUT_S)
+        await server.stop(grace=SHUTDOWN_TIMEOUT_S)
         await tasks.cancel()
         await site.cleanup()
     await channels.close()
--- a/stairquay/router/exporting.py
+++ b/stairquay/router/exporting.py
@@ -22,21 +22,21 @@
 from stairquay.core.routing import block_bytes
 from stairquay.router.state import RouterState, Ticket
 
-IDLE_S = 0.05
+POLL_INTERVAL_S = 0.05
 """Seconds between two looks at an empty queue, or at a link that imports keep busy."""
 
-MAX_QUEUED = 1_000
+MAX_QUEUED_EXPORTS = 1_000
 """Exports that wait for one store box; beyond it the oldest goes, whose context is gone soonest."""
 
-Start = Callable[[Coroutine[Any, Any, None]], object]
+StartTask = Callable[[Coroutine[Any, Any, None]], object]
 """Runs work in the background of the program."""
 
-RENEW_S = 5.0
+RENEW_INTERVAL_S = 5.0
 """A segment's time of use is written again at most this often."""
 
 
 @dataclass(order=True)
-class Queued:
+class QueuedExport:
     """A finished run whose context may be exported, by the time it is ready."""
 
     ready_at: float
@@ -46,134 +46,138 @@
 class Exporter:
     """Queues of exports of one router, one for each store box, so that none waits for another's link."""
 
-    def __init__(self, state: RouterState, session: ClientSession, start: Start) -> None:
+    def __init__(self, state: RouterState, session: ClientSession, start_task: StartTask) -> None:
         self.state = state
         self.session = session
-        self.start = start
-        self.keep = KEEP_POLICIES[state.settings.keep.policy]
-        self.queues: dict[str, list[Queued]] = {}
-        self.budgets: dict[str, TokenBucket] = {}
-        self.renewed_at: dict[str, float] = {}
+        self.start_task = start_task
+        self.should_export = KEEP_POLICIES[state.settings.keep.policy]
+        self.queues_by_store: dict[str, list[QueuedExport]] = {}
+        self.bandwidth_by_store: dict[str, TokenBucket] = {}
+        self.renewed_at_by_segment: dict[str, float] = {}
 
-    def offer(self, ticket: Ticket) -> None:
+    def enqueue(self, ticket: Ticket) -> None:
         """Consider the context of a run that has ended."""
         service = self.state.view.configuration.services.get(ticket.service)
-        store = self._store(service, ticket) if service is not None else None
+        store = self._choose_store(service, ticket) if service is not None else None
         if store is None or not ticket.ids:
             return
-        if store not in self.queues:
-            self.queues[store] = []
-            self.start(self._work(store))
+        if store not in self.queues_by_store:
+            self.queues_by_store[store] = []
+            self.start_task(self._run_queue(store))
         ready_at = monotonic() + self.state.settings.keep.export_delay_s
-        heapq.heappush(self.queues[store], Queued(ready_at, ticket))
-        if len(self.queues[store]) > MAX_QUEUED:
-            heapq.heappop(self.queues[store])
+        heapq.heappush(self.queues_by_store[store], QueuedExport(ready_at, ticket))
+        if len(self.queues_by_store[store]) > MAX_QUEUED_EXPORTS:
+            heapq.heappop(self.queues_by_store[store])
 
-    async def _work(self, store: str) -> None:
+    async def _run_queue(self, store: str) -> None:
         """Export to one store box for ever, one segment at a time."""
-        queue = self.queues[store]
+        queue = self.queues_by_store[store]
         while True:
             if not queue or queue[0].ready_at > monotonic():
-                await asyncio.sleep(IDLE_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 continue
             await self._export(store, heapq.heappop(queue).ticket)
 
     async def _export(self, store: str, ticket: Ticket) -> None:
         service = self.state.view.configuration.services.get(ticket.service)
         box = self.state.view.membership.usable(ticket.endpoint)
-        live = self.state.live_stores().get(store)
-        if service is None or box is None or live is None:
+        store_box = self.state.live_stores().get(store)
+        if service is None or box is None or store_box is None:
             return
-        resident = self.state.engine_caches.of(ticket.endpoint).prefix_length(ticket.ids)
-        held = len(self.state.stored_blocks.contiguous_blocks(store, ticket.ids, 0))
-        self._renew(store, ticket, held)
-        ids = ticket.ids[held:resident]
+        resident_blocks = self.state.engine_caches.of(ticket.endpoint).prefix_length(ticket.ids)
+        stored_count = len(self.state.stored_blocks.contiguous_blocks(store, ticket.ids, 0))
+        self._renew_segments(store, ticket, stored_count)
+        ids = ticket.ids[stored_count:resident_blocks]
         size = len(ids) * block_bytes(service.costs)
-        worth = self._worth(ticket)
-        if not ids or not self.keep(ExportCandidate(worth, size)):
+        return_probability = self._return_probability(ticket)
+        if not ids or not self.should_export(ExportCandidate(return_probability, size)):
             return
         await self._wait_for_link(store, service, size)
         order = ExportOrder(
-            store=live.addresses["http"],
+            store=store_box.addresses["http"],
             segment=secrets.token_hex(16),
             version=ticket.version,
             block_bytes=block_bytes(service.costs),
             ids=ids,
         )
-        await self._run_order(store, box.addresses["http"], order, worth)
+        await self._export_segment(store, box.addresses["http"], order, return_probability)
 
-    async def _run_order(self, store: str, engine: str, order: ExportOrder, worth: float) -> None:
+    async def _export_segment(
+        self, store: str, engine: str, order: ExportOrder, return_probability: float
+    ) -> None:
         """Write the data, then the manifest; the segment is known only after both."""
         timeout_s = self.state.settings.import_timeout_s
         written = await export_blocks(self.session, engine, order, timeout_s)
         if isinstance(written, Err) or not written.ok_value.ids:
             self.state.metrics.exports.labels(store, "failed").inc()
             return
-        segment = _segment(order, written.ok_value, worth)
-        moved = order.block_bytes * len(segment.ids)
-        self.state.metrics.link_bytes.labels(store, "export").inc(moved)
-        shown = await put_manifest(self.session, order.store, segment, timeout_s)
-        if isinstance(shown, Err):
+        segment = _segment(order, written.ok_value, return_probability)
+        exported_bytes = order.block_bytes * len(segment.ids)
+        self.state.metrics.link_bytes.labels(store, "export").inc(exported_bytes)
+        manifest_put = await put_manifest(self.session, order.store, segment, timeout_s)
+        if isinstance(manifest_put, Err):
             self.state.metrics.exports.labels(store, "failed").inc()
             return
         self.state.stored_blocks.add(store, segment)
         self.state.metrics.exports.labels(store, "done").inc()
 
-    def _worth(self, ticket: Ticket) -> float:
+    def _return_probability(self, ticket: Ticket) -> float:
         """Return the probability that the run's conversation returns."""
         turns = self.state.turn_counter.turns(ticket.prompt.family)
         return self.state.return_rates.probability(ticket.workspace, turns)
 
-    def _store(self, service: Service, ticket: Ticket) -> str | None:
+    def _choose_store(self, service: Service, ticket: Ticket) -> str | None:
         """Return the family's own store, unless another holds most of the chain already.
 
         What a workspace's prompts share is kept in every store, so it draws no family to one.
         """
-        live = [key for key in service.stores if key in self.state.live_stores()]
-        if not live:
+        live_ids = [key for key in service.stores if key in self.state.live_stores()]
+        if not live_ids:
             return None
-        order = ranked(ticket.prompt.family, live)
-        held = {key: len(self.state.stored_blocks.contiguous_blocks(key, ticket.ids, 0)) for key in order}
-        most = max(order, key=lambda key: held[key])
-        return most if held[most] > max(held[order[0]], len(ticket.ids) / 2) else order[0]
+        ranked_ids = ranked(ticket.prompt.family, live_ids)
+        stored = {
+            key: len(self.state.stored_blocks.contiguous_blocks(key, ticket.ids, 0)) for key in ranked_ids
+        }
+        fullest = max(ranked_ids, key=lambda key: stored[key])
+        return fullest if stored[fullest] > max(stored[ranked_ids[0]], len(ticket.ids) / 2) else ranked_ids[0]
 
     async def _wait_for_link(self, store: str, service: Service, size: int) -> None:
         """Wait until no import uses the link and the export's share of it allows the bytes."""
         share = self.state.settings.keep.export_link_share / max(1, len(self.state.view.live_routers()))
         rate = max(1.0, service.costs.link_bytes_s * share)
-        bucket = self.budgets.setdefault(store, TokenBucket(rate, rate, rate, monotonic()))
+        bucket = self.bandwidth_by_store.setdefault(store, TokenBucket(rate, rate, rate, monotonic()))
         bucket.rate_s = rate
         link = self.state.link(store)
         while link.active_imports or not bucket.overdraw(size, monotonic()):
-            await asyncio.sleep(IDLE_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _renew(self, store: str, ticket: Ticket, held: int) -> None:
+    def _renew_segments(self, store: str, ticket: Ticket, stored_count: int) -> None:
         """Write anew when the segments of a returned prompt were used, and what they are worth."""
         now = monotonic()
-        worth = self._worth(ticket)
-        blocks = self.state.stored_blocks.contiguous_blocks(store, ticket.ids, 0)[:held]
+        return_probability = self._return_probability(ticket)
+        blocks = self.state.stored_blocks.contiguous_blocks(store, ticket.ids, 0)[:stored_count]
         for name in {block.segment for block in blocks}:
             segment = self.state.stored_blocks.segments_by_store[store][name]
-            if now - self.renewed_at.get(name, float("-inf")) < RENEW_S:
+            if now - self.renewed_at_by_segment.get(name, float("-inf")) < RENEW_INTERVAL_S:
                 continue
-            self.renewed_at[name] = now
-            renewed = replace(segment, value=worth, used_at=time.time())
-            self.start(self._put(store, renewed))
+            self.renewed_at_by_segment[name] = now
+            renewed = replace(segment, value=return_probability, used_at=time.time())
+            self.start_task(self._renew_manifest(store, renewed))
 
-    async def _put(self, store: str, segment: Segment) -> None:
+    async def _renew_manifest(self, store: str, segment: Segment) -> None:
         """Renew a manifest; one that is gone stays gone, and the catalogue will say so."""
         box = self.state.live_stores().get(store)
         if box is not None:
-            await renew_manifest(self.session, box.addresses["http"], segment, RENEW_S)
+            await renew_manifest(self.session, box.addresses["http"], segment, RENEW_INTERVAL_S)
 
 
-def _segment(order: ExportOrder, written: Exported, worth: float) -> Segment:
+def _segment(order: ExportOrder, written: Exported, return_probability: float) -> Segment:
     return Segment(
         name=order.segment,
         ids=written.ids,
         checksums=written.checksums,
         block_bytes=order.block_bytes,
         version=order.version,
-        value=worth,
+        value=return_probability,
         used_at=time.time(),
     )
--- a/stairquay/router/importing.py
+++ b/stairquay/router/importing.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class Want:
+class ImportRequest:
     """Blocks to bring to one engine: `ids` are the identities of the import's blocks, in order."""
 
     endpoint: str
@@ -34,67 +34,73 @@
         self.session = session
         self.pending: dict[tuple[str, str], asyncio.Task[int]] = {}
 
-    def start(self, want: Want) -> int:
+    def start(self, request: ImportRequest) -> int:
         """Start to bring the blocks that are not on their way yet; return the bytes asked for.
 
         The engine's memory is taken to hold them from now on, so that prompts that come in the
         meantime are sent to the same engine and wait for the same import.
         """
-        fresh = [i for i, block in enumerate(want.ids) if (want.endpoint, block) not in self.pending]
-        if not fresh:
+        new_indexes = [
+            i for i, block in enumerate(request.ids) if (request.endpoint, block) not in self.pending
+        ]
+        if not new_indexes:
             return 0
-        order = self._order(want, fresh)
-        size = len(fresh) * order.block_bytes
-        self.state.link(want.import_.store).start_import(size, want.costs.link_bytes_s, monotonic())
-        self.state.engine_caches.of(want.endpoint).touch(want.ids)
-        task = asyncio.create_task(self._bring(want, order, size))
+        order = self._import_order(request, new_indexes)
+        size = len(new_indexes) * order.block_bytes
+        self.state.link(request.import_.store).start_import(size, request.costs.link_bytes_s, monotonic())
+        self.state.engine_caches.of(request.endpoint).touch(request.ids)
+        task = asyncio.create_task(self._run_import(request, order, size))
         for block in order.blocks:
-            self.pending[want.endpoint, block.id] = task
+            self.pending[request.endpoint, block.id] = task
         return size
 
-    def under_way(self, endpoint: str, ids: tuple[str, ...]) -> set[asyncio.Task[int]]:
+    def pending_imports(self, endpoint: str, ids: tuple[str, ...]) -> set[asyncio.Task[int]]:
         """Return the imports that bring any of these blocks to an engine."""
         found = {self.pending.get((endpoint, block)) for block in ids}
         return {task for task in found if task is not None}
 
-    async def drain(self) -> None:
+    async def wait_for_pending(self) -> None:
         """Wait for the imports under way."""
         await asyncio.gather(*set(self.pending.values()), return_exceptions=True)
 
-    def _order(self, want: Want, fresh: list[int]) -> ImportOrder:
+    def _import_order(self, request: ImportRequest, new_indexes: list[int]) -> ImportOrder:
         blocks = []
-        for index in fresh:
-            place = want.import_.blocks[index]
-            blocks.append(ImportBlock(want.ids[index], place.segment, place.index, place.checksum))
-        store = self.state.live_stores().get(want.import_.store)
+        for index in new_indexes:
+            location = request.import_.blocks[index]
+            blocks.append(
+                ImportBlock(request.ids[index], location.segment, location.index, location.checksum)
+            )
+        store = self.state.live_stores().get(request.import_.store)
         return ImportOrder(
-            store=_address(store),
-            version=want.version,
+            store=_store_address(store),
+            version=request.version,
             valid_until=time.time() + self.state.settings.import_timeout_s,
-            block_bytes=block_bytes(want.costs),
+            block_bytes=block_bytes(request.costs),
             blocks=tuple(blocks),
         )
 
-    async def _bring(self, want: Want, order: ImportOrder, size: int) -> int:
+    async def _run_import(self, request: ImportRequest, order: ImportOrder, size: int) -> int:
         started = monotonic()
-        store = want.import_.store
+        store = request.import_.store
         timeout_s = self.state.settings.import_timeout_s
-        outcome = await import_blocks(self.session, want.address, order, timeout_s)
+        outcome = await import_blocks(self.session, request.address, order, timeout_s)
         for block in order.blocks:
-            self.pending.pop((want.endpoint, block.id), None)
-        brought = 0 if isinstance(outcome, Err) else outcome.ok_value.blocks
-        missing = [block.id for block in order.blocks[brought:]]
-        self.state.engine_caches.of(want.endpoint).drop(missing)
-        moved = brought * order.block_bytes
-        self.state.link(store).finish_import(moved, monotonic() - started, want.costs.link_bytes_s)
-        self._count(store, moved, bool(missing))
-        return brought
-
-    def _count(self, store: str, moved: int, short: bool) -> None:
-        outcome = "short" if short else "whole"
+            self.pending.pop((request.endpoint, block.id), None)
+        imported_blocks = 0 if isinstance(outcome, Err) else outcome.ok_value.blocks
+        missing_ids = [block.id for block in order.blocks[imported_blocks:]]
+        self.state.engine_caches.of(request.endpoint).drop(missing_ids)
+        imported_bytes = imported_blocks * order.block_bytes
+        self.state.link(store).finish_import(
+            imported_bytes, monotonic() - started, request.costs.link_bytes_s
+        )
+        self._record_metrics(store, imported_bytes, bool(missing_ids))
+        return imported_blocks
+
+    def _record_metrics(self, store: str, imported_bytes: int, partial: bool) -> None:
+        outcome = "short" if partial else "whole"
         self.state.metrics.imports.labels(store, outcome).inc()
-        self.state.metrics.link_bytes.labels(store, "import").inc(moved)
+        self.state.metrics.link_bytes.labels(store, "import").inc(imported_bytes)
 
 
-def _address(box: Box | None) -> str:
+def _store_address(box: Box | None) -> str:
     return "" if box is None else box.addresses["http"]
--- a/stairquay/router/polling.py
+++ b/stairquay/router/polling.py
@@ -17,11 +17,11 @@
 
 
 @dataclass
-class Position:
+class EventCursor:
     """How far the events of one source were read."""
 
     incarnation: str = ""
-    last: int = 0
+    last_number: int = 0
 
 
 class Poller:
@@ -30,8 +30,8 @@
     def __init__(self, state: RouterState, session: ClientSession) -> None:
         self.state = state
         self.session = session
-        self.engine_positions: dict[str, Position] = {}
-        self.store_positions: dict[str, Position] = {}
+        self.engine_cursors: dict[str, EventCursor] = {}
+        self.store_cursors: dict[str, EventCursor] = {}
 
     async def run(self) -> None:
         """Poll for ever."""
@@ -45,26 +45,26 @@
         """Ask every engine and every store box once, all at the same time."""
         engines = [self._poll_engine(box) for box in self.state.engines().values()]
         stores = [self._poll_store(box) for box in self.state.listed_stores().values()]
-        self._forget_gone_stores()
+        self._drop_removed_stores()
         await asyncio.gather(*engines, *stores)
 
     async def _poll_engine(self, box: Box) -> None:
-        position = self.engine_positions.setdefault(box.id, Position())
+        cursor = self.engine_cursors.setdefault(box.id, EventCursor())
         timeout_s = self.state.settings.endpoint_timeout_s
-        outcome = await fetch_state(self.session, box.addresses["http"], position.last, timeout_s)
+        outcome = await fetch_state(self.session, box.addresses["http"], cursor.last_number, timeout_s)
         if isinstance(outcome, Err):
             return
-        self._take_engine(box.id, position, outcome.ok_value)
+        self._apply_engine_state(box.id, cursor, outcome.ok_value)
 
-    def _take_engine(self, endpoint: str, position: Position, reported: EngineState) -> None:
+    def _apply_engine_state(self, endpoint: str, cursor: EventCursor, reported: EngineState) -> None:
         now = monotonic()
-        if reported.incarnation == position.incarnation or not position.last:
-            self._take_events(endpoint, position, reported.events)
+        if reported.incarnation == cursor.incarnation or not cursor.last_number:
+            self._apply_events(endpoint, cursor, reported.events)
         else:
             # The events asked for were another life's; the next round asks from the first on.
             self.state.engine_caches.reset(endpoint)
-            position.last = 0
-        position.incarnation = reported.incarnation
+            cursor.last_number = 0
+        cursor.incarnation = reported.incarnation
         membership = self.state.view.membership
         if reported.leaving:
             membership.on_leaving(endpoint, reported.incarnation)
@@ -84,34 +84,34 @@
         )
         self.state.load(endpoint).on_report(report, now)
 
-    def _take_events(self, endpoint: str, position: Position, events: tuple[CacheEvent, ...]) -> None:
-        memory = self.state.engine_caches.of(endpoint)
+    def _apply_events(self, endpoint: str, cursor: EventCursor, events: tuple[CacheEvent, ...]) -> None:
+        cache = self.state.engine_caches.of(endpoint)
         for event in events:
-            if event.number <= position.last:
+            if event.number <= cursor.last_number:
                 continue
-            lost = event.number - position.last - 1
-            if lost and position.last:
-                self.state.metrics.lost_events.inc(lost)
-            position.last = event.number
+            missed_events = event.number - cursor.last_number - 1
+            if missed_events and cursor.last_number:
+                self.state.metrics.lost_events.inc(missed_events)
+            cursor.last_number = event.number
             if event.kind == EventKind.STORED:
-                memory.touch(event.ids)
+                cache.touch(event.ids)
             else:
-                memory.drop(event.ids)
+                cache.drop(event.ids)
 
     async def _poll_store(self, box: Box) -> None:
-        position = self.store_positions.setdefault(box.id, Position())
+        cursor = self.store_cursors.setdefault(box.id, EventCursor())
         outcome = await fetch_catalogue(
             self.session,
             box.addresses["http"],
-            position.incarnation,
-            position.last,
+            cursor.incarnation,
+            cursor.last_number,
             self.state.settings.endpoint_timeout_s,
         )
         if isinstance(outcome, Err):
             return
-        self._take_catalogue(box.id, position, outcome.ok_value)
+        self._apply_catalogue(box.id, cursor, outcome.ok_value)
 
-    def _take_catalogue(self, store: str, position: Position, catalogue: Catalogue) -> None:
+    def _apply_catalogue(self, store: str, cursor: EventCursor, catalogue: Catalogue) -> None:
         if catalogue.whole:
             self.state.stored_blocks.reset(store)
         for change in catalogue.changes:
@@ -119,14 +119,14 @@
                 self.state.stored_blocks.remove(store, change.name)
             else:
                 self.state.stored_blocks.add(store, change.segment)
-        position.incarnation = catalogue.incarnation
-        position.last = catalogue.last_change
+        cursor.incarnation = catalogue.incarnation
+        cursor.last_number = catalogue.last_change
         self.state.catalogue_received_at_by_store[store] = monotonic()
         self.state.metrics.kept_bytes.labels(store).set(catalogue.used)
 
-    def _forget_gone_stores(self) -> None:
-        live = self.state.listed_stores()
-        for store in list(self.store_positions):
-            if store not in live:
-                del self.store_positions[store]
+    def _drop_removed_stores(self) -> None:
+        listed = self.state.listed_stores()
+        for store in list(self.store_cursors):
+            if store not in listed:
+                del self.store_cursors[store]
                 self.state.stored_blocks.reset(store)
--- a/stairquay/router/service.py
+++ b/stairquay/router/service.py
@@ -32,11 +32,11 @@
 from stairquay.core.retention import segment_bytes
 from stairquay.core.routing import POLICIES, Decision, Demand
 from stairquay.router.exporting import Exporter
-from stairquay.router.importing import Importer, Want
+from stairquay.router.importing import Importer, ImportRequest
 from stairquay.router.state import RouterState, Ticket, find_candidates
 
 NO_ENDPOINT_RETRY_S = 1.0
-FOLLOWER_LIFE_S = 60.0
+FOLLOWER_TTL_S = 60.0
 
 
 @dataclass(frozen=True)
@@ -47,7 +47,7 @@
     role: str
     revision: int
     list_as_of: int
-    asked_at: float
+    last_request_at: float
 
 
 class RouterService(RouterServicer):
@@ -59,22 +59,22 @@
         self.exporter = exporter
         self.policy = POLICIES[state.settings.policy]()
         self.followers: dict[tuple[str, str], Follower] = {}
-        self.routing = 0
+        self.active_routes = 0
 
     async def Route(self, request: RouteRequest, context: Any) -> AsyncIterator[RouteReply]:
         """Decide where a prompt runs, and bring its context there."""
-        self.routing += 1
+        self.active_routes += 1
         try:
             async for reply in self._route(request):
                 yield reply
         finally:
-            self.routing -= 1
+            self.active_routes -= 1
 
     async def Report(self, request: ReportRequest, context: Any) -> ReportReply:
         """Take in what became of a run."""
         ticket = self.state.tickets_by_number.get(request.ticket)
         if ticket is not None:
-            self._report(ticket, request)
+            self._apply_report(ticket, request)
         return ReportReply()
 
     async def View(self, request: ViewRequest, context: Any) -> ViewReply:
@@ -105,10 +105,10 @@
             list_as_of=view.membership.boxes.as_of,
             reach=view.reach().value,
         )
-        reply.followers.extend(self._followers(now))
+        reply.followers.extend(self._follower_statuses(now))
         for service in view.configuration.services.values():
-            reply.endpoints.extend(self._endpoints(service, now))
-        reply.kept.extend(self._kept())
+            reply.endpoints.extend(self._endpoint_statuses(service, now))
+        reply.kept.extend(self._kept_statuses())
         return reply
 
     async def _route(self, request: RouteRequest) -> AsyncIterator[RouteReply]:
@@ -117,20 +117,20 @@
             yield RouteReply(retry_after_s=NO_ENDPOINT_RETRY_S, ready=True)
             return
         prompt = Prompt(request.family, tuple(request.chain), request.tokens)
-        started = process_time()
+        started_cpu_s = process_time()
         decision = self._decide(request, service, prompt)
-        self.state.metrics.decision_time.observe(process_time() - started)
+        self.state.metrics.decision_time.observe(process_time() - started_cpu_s)
         if decision is None:
             yield RouteReply(retry_after_s=NO_ENDPOINT_RETRY_S, ready=True)
             return
-        ticket = self._ticket(request, service, prompt, decision)
-        reply, want = self._start(service, ticket, decision)
-        under_way = self.importer.under_way(ticket.endpoint, ticket.ids)
-        reply.ready = not under_way
+        ticket = self._open_ticket(request, service, prompt, decision)
+        reply, import_request = self._start_run(service, ticket, decision)
+        pending_imports = self.importer.pending_imports(ticket.endpoint, ticket.ids)
+        reply.ready = not pending_imports
         yield reply
-        if not under_way:
+        if not pending_imports:
             return
-        await asyncio.wait(under_way, timeout=request.import_wait_ms / 1000)
+        await asyncio.wait(pending_imports, timeout=request.import_wait_ms / 1000)
         reply.ready = True
         yield reply
 
@@ -140,11 +140,13 @@
             load = self.state.load(endpoint)
             load.report = replace(load.report, version=version)
         excluded = frozenset(request.excluded)
-        found = find_candidates(self.state, service, prompt, excluded, now)
+        candidates = find_candidates(self.state, service, prompt, excluded, now)
         demand = Demand(prompt.tokens, service.time_weight)
-        return self.policy(demand, found, service.costs, self.state.random)
+        return self.policy(demand, candidates, service.costs, self.state.random)
 
-    def _ticket(self, request: RouteRequest, service: Service, prompt: Prompt, decision: Decision) -> Ticket:
+    def _open_ticket(
+        self, request: RouteRequest, service: Service, prompt: Prompt, decision: Decision
+    ) -> Ticket:
         ticket = Ticket(
             number=self.state.next_ticket,
             service=service.id,
@@ -161,14 +163,18 @@
         self.state.load(decision.endpoint).on_sent(decision.missing_tokens, ticket.created_at)
         return ticket
 
-    def _start(self, service: Service, ticket: Ticket, decision: Decision) -> tuple[RouteReply, Want | None]:
+    def _start_run(
+        self, service: Service, ticket: Ticket, decision: Decision
+    ) -> tuple[RouteReply, ImportRequest | None]:
         """Start the decision's import, if any, and return the reply without its `ready`."""
         box = self.state.view.membership.boxes.by_id[ticket.endpoint]
         address = box.addresses["http"]
-        want = self._want(service, ticket, decision, address)
-        imported = 0 if want is None else self.importer.start(want)
-        way = "import" if want is not None else "resident" if decision.resident_blocks else "compute"
-        self.state.metrics.decisions.labels(service.id, way).inc()
+        import_request = self._import_request(service, ticket, decision, address)
+        imported = 0 if import_request is None else self.importer.start(import_request)
+        source = (
+            "import" if import_request is not None else "resident" if decision.resident_blocks else "compute"
+        )
+        self.state.metrics.decisions.labels(service.id, source).inc()
         # The run itself leaves all of its blocks in memory; later prompts may count on them.
         self.state.engine_caches.of(ticket.endpoint).touch(ticket.ids)
         reply = RouteReply(
@@ -181,21 +187,23 @@
             first_token_s=decision.first_token_s,
             imported_bytes=imported,
         )
-        return reply, want
+        return reply, import_request
 
-    def _want(self, service: Service, ticket: Ticket, decision: Decision, address: str) -> Want | None:
+    def _import_request(
+        self, service: Service, ticket: Ticket, decision: Decision, address: str
+    ) -> ImportRequest | None:
         if decision.import_ is None:
             return None
         first = decision.resident_blocks
         ids = ticket.ids[first : first + len(decision.import_.blocks)]
-        return Want(ticket.endpoint, address, ticket.version, ids, decision.import_, service.costs)
+        return ImportRequest(ticket.endpoint, address, ticket.version, ids, decision.import_, service.costs)
 
-    def _report(self, ticket: Ticket, request: ReportRequest) -> None:
+    def _apply_report(self, ticket: Ticket, request: ReportRequest) -> None:
         del self.state.tickets_by_number[ticket.number]
         load = self.state.load(ticket.endpoint)
         load.on_finished()
         if request.outcome == RUN_OUTCOME_FINISHED:
-            self._finished(ticket, request.cached_tokens // BLOCK_TOKENS)
+            self._record_finished(ticket, request.cached_tokens // BLOCK_TOKENS)
             return
         self.state.engine_caches.of(ticket.endpoint).drop(ticket.ids)
         if request.outcome == RUN_OUTCOME_LEAVING:
@@ -203,21 +211,21 @@
         if request.outcome == RUN_OUTCOME_WRONG_VERSION:
             load.report = replace(load.report, version=request.version)
 
-    def _finished(self, ticket: Ticket, cached_blocks: int) -> None:
+    def _record_finished(self, ticket: Ticket, cached_blocks: int) -> None:
         """Learn from a run that ended well, and consider its context for export."""
         self.state.engine_caches.correct(ticket.endpoint, ticket.ids, cached_blocks)
         turn = self.state.turn_counter.on_turn(ticket.prompt.family, ticket.turn)
         self.state.return_rates.on_turn(ticket.workspace, turn)
-        self.exporter.offer(ticket)
+        self.exporter.enqueue(ticket)
 
-    def _followers(self, now: float) -> list[FollowerStatus]:
-        found = []
+    def _follower_statuses(self, now: float) -> list[FollowerStatus]:
+        statuses = []
         for key, item in list(self.followers.items()):
-            age_s = now - item.asked_at
-            if age_s > FOLLOWER_LIFE_S:
+            age_s = now - item.last_request_at
+            if age_s > FOLLOWER_TTL_S:
                 del self.followers[key]
                 continue
-            found.append(
+            statuses.append(
                 FollowerStatus(
                     name=item.name,
                     role=item.role,
@@ -226,10 +234,10 @@
                     age_s=age_s,
                 )
             )
-        return found
+        return statuses
 
-    def _endpoints(self, service: Service, now: float) -> list[EndpointStatus]:
-        found = []
+    def _endpoint_statuses(self, service: Service, now: float) -> list[EndpointStatus]:
+        statuses = []
         for endpoint in service.endpoints:
             load = self.state.loads_by_endpoint.get(endpoint.id)
             status = EndpointStatus(id=endpoint.id, service=service.id, age_s=-1)
@@ -240,14 +248,14 @@
                 status.queued_tokens = load.report.queued_tokens
                 status.running = load.report.running
                 status.age_s = now - load.received_at
-            found.append(status)
-        return found
+            statuses.append(status)
+        return statuses
 
-    def _kept(self) -> list[KeptStatus]:
-        found = []
+    def _kept_statuses(self) -> list[KeptStatus]:
+        statuses = []
         for store, segments in self.state.stored_blocks.segments_by_store.items():
             sizes: dict[str, int] = {}
             for segment in segments.values():
                 sizes[segment.version] = sizes.get(segment.version, 0) + segment_bytes(segment)
-            found += [KeptStatus(store=store, version=key, bytes=size) for key, size in sizes.items()]
-        return found
+            statuses += [KeptStatus(store=store, version=key, bytes=size) for key, size in sizes.items()]
+        return statuses
--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -42,7 +42,7 @@
         "blocks",
         "one import for all",
         "stairquay/router/importing.py",
-        "if (want.endpoint, block) not in self.pending",
+        "if (request.endpoint, block) not in self.pending",
         "if True",
         "Many requests that return together share one import",
     ),
