--- a/stairquay/control/__init__.py
+++ b/stairquay/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control program: operators' intents, leases, fenced orders and upkeep."""
+"""The control program: the operator API, and the leader's version orders and upkeep."""
--- a/stairquay/control/api.py
+++ b/stairquay/control/api.py
@@ -1,4 +1,4 @@
-"""The operators' side: intents, plans and status over HTTP with JSON bodies. docs/API.md."""
+"""HTTP API for operators: intents, plans, configuration and status as JSON (see docs/API.md)."""
 
 import hashlib
 import hmac
@@ -28,7 +28,7 @@
 
 
 class OperatorApi:
-    """Handles operators' requests; keeps nothing between them."""
+    """Handles operators' requests; holds no state between them."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self.metrics = metrics
 
     def application(self) -> web.Application:
-        """Return the application with all routes."""
+        """Return the web application with all routes."""
         app = web.Application(middlewares=[self._authenticate], client_max_size=MAX_BODY_BYTES)
         app.add_routes(
             [
@@ -59,7 +59,7 @@
         return app
 
     async def propose(self, request: web.Request) -> web.StreamResponse:
-        """Answer intents with a plan; nothing changes yet."""
+        """Make and store a plan for the intents in the body, without applying it."""
         try:
             value = msgspec.json.decode(await request.read())
         except msgspec.DecodeError as error:
@@ -83,7 +83,7 @@
         return _json_response({"plan": encode(redact(outcome.ok_value.plan))})
 
     async def confirm(self, request: web.Request) -> web.StreamResponse:
-        """Put a plan into force."""
+        """Apply a plan."""
         outcome = await self.plans.confirm(request.match_info["plan"])
         if isinstance(outcome, Err):
             return _refusal_response(outcome.err_value)
@@ -95,14 +95,14 @@
         return _json_response({"plan": encode(redact(result.plan)), "revision": result.revision})
 
     async def configuration(self, _: web.Request) -> web.StreamResponse:
-        """Return the configuration in force at this control."""
+        """Return the configuration that this process has loaded."""
         configuration = self.view.configuration
         rows = {row.key: _redact_value(row.value) for row in configuration.rows_by_key.values()}
         objects = {key: msgspec.json.decode(value) for key, value in rows.items() if value is not None}
         return _json_response({"revision": configuration.revision, "objects": objects})
 
     async def status(self, _: web.Request) -> web.StreamResponse:
-        """Return the state of the whole system."""
+        """Return the status of the whole system."""
         found = await gather_status(self.view, self.channels)
         return _json_response({**encode(found), "behind": encode(found.behind)})
 
@@ -123,7 +123,7 @@
 
 
 def redact(plan: Plan) -> Plan:
-    """Return a plan as operators may see it, without workspaces' secrets."""
+    """Return a plan without the secrets of workspaces."""
     changes = tuple(
         Change(item.key, _redact_value(item.before), _redact_value(item.after)) for item in plan.changes
     )
--- a/stairquay/control/app.py
+++ b/stairquay/control/app.py
@@ -1,4 +1,4 @@
-"""The control program: any of them answers operators, and one at a time acts for all."""
+"""Runs the control program: each process serves the operator API, and the leader sends orders."""
 
 import secrets
 
@@ -23,13 +23,13 @@
 
 
 async def run_control(settings: Settings, control: ControlSettings) -> None:
-    """Run the control until a stop signal, then give up the lease and finish requests."""
+    """Run the control program until a stop signal, then release the lease and finish open requests."""
     view = View(settings.box.id, ROLE, settings.view.stale_s)
     platform = HttpPlatform(settings.platform.url, settings.platform.timeout_s)
     channels = RouterChannels(settings.internal_tls)
     metrics = ControlMetrics()
     keep = settings.router.keep if settings.router is not None else KeepSettings()
-    # A name of this process, not of the box: a restarted control is another holder.
+    # A restarted process must not take over the lease of the one before it.
     name = f"{settings.box.id}-{secrets.token_hex(4)}"
     leader = Leader(platform, name, control.lease_s, metrics)
     plans = PlanService(platform, settings.platform.timeout_s * 2)
--- a/stairquay/control/leader.py
+++ b/stairquay/control/leader.py
@@ -1,4 +1,4 @@
-"""The lease under which one control acts for all, kept as one row of the table service."""
+"""Leader election among the control programs, by a lease in one row of the table service."""
 
 import asyncio
 import secrets
@@ -16,11 +16,11 @@
 
 LEASE_KEY = "lease/control"
 RENEWALS_PER_HALF_LEASE = 4
-"""Rounds in the part of a lease in which its holder may act."""
+"""Rounds in half a lease, which is less than the share in which its holder may act."""
 
 
 class Leader:
-    """This control's part in the lease: held, or observed at another."""
+    """State of the lease in this process: held by it, or observed as held by another."""
 
     def __init__(self, table: Table, name: str, lease_s: float, metrics: ControlMetrics) -> None:
         self.table = table
@@ -32,27 +32,27 @@
         self.acquired_at = float("-inf")
 
     def may_act(self) -> bool:
-        """Tell whether this control may act now. Ask again after every wait."""
+        """Tell whether this process may act now; must be checked again after every await."""
         return self.held is not None and self.held.may_act(monotonic())
 
     @property
     def fence(self) -> int:
-        """Return the fencing token of the lease held, 0 without one."""
+        """Return the fencing token of the held lease, 0 if none is held."""
         return self.held.row.token if self.held is not None else 0
 
     def held_for_s(self) -> float:
-        """Return for how long this control has held the lease without a break."""
+        """Return the seconds since this process acquired the lease, 0 if it may not act."""
         return monotonic() - self.acquired_at if self.may_act() else 0.0
 
     async def run(self) -> None:
-        """Take and renew the lease for ever."""
+        """Acquire and renew the lease until cancelled."""
         while True:
             await self.acquire_or_renew()
             self.metrics.leading.set(1 if self.may_act() else 0)
             await asyncio.sleep(self.lease_s / (2 * RENEWALS_PER_HALF_LEASE))
 
     async def acquire_or_renew(self) -> None:
-        """Read the row, and write it where the lease is ours to renew or free to take."""
+        """Read the row, and write it if the lease is held by this process or has expired."""
         read = await self.table.get(LEASE_KEY)
         if isinstance(read, Err):
             return
@@ -66,7 +66,7 @@
         await self._write(row, current)
 
     async def release(self) -> None:
-        """Free the lease at a planned stop, so that another control need not wait it out."""
+        """Release the lease at a planned stop, so that another process need not wait for its expiry."""
         held, self.held = self.held, None
         if held is None:
             return
@@ -74,7 +74,7 @@
         await self.table.commit(_lease_commit(released, held.revision))
 
     def _is_own_row(self, row: Row, current: LeaseRow) -> bool:
-        """Tell whether the row is the one that this process itself wrote last."""
+        """Tell whether this process wrote the row last and still holds the lease."""
         return (
             self.held is not None
             and current.holder == self.name
@@ -91,7 +91,7 @@
             return
         if not renewing:
             self.acquired_at = monotonic()
-            logging.info("lease taken, fencing token %d", new_row.token)
+            logging.info("control lease acquired, fencing token %d", new_row.token)
         self.held = HeldLease(new_row, outcome.ok_value.revision, sent_at)
 
 
@@ -102,7 +102,7 @@
 
 
 def _without_holder(current: LeaseRow | None) -> LeaseRow | None:
-    """Return the row as another's: a lease that was lost is taken anew, under a higher token."""
+    """Return the row without its holder, so that a lost lease is acquired under a higher token."""
     if current is None:
         return None
     return LeaseRow("", current.token, current.duration_s, current.renewal)
@@ -117,11 +117,11 @@
 
 
 LeaderTask = Callable[[], Awaitable[None]]
-"""Something that only the holder of the lease does; it asks `may_act` again after every wait."""
+"""A task of the leader; it checks `may_act` again after every await."""
 
 
 async def run_while_leading(leader: Leader, task: LeaderTask, period_s: float) -> None:
-    """Do a duty again and again while the lease is held."""
+    """Run a task every `period_s` seconds while the lease is held."""
     while True:
         if leader.may_act():
             await task()
--- a/stairquay/control/orders.py
+++ b/stairquay/control/orders.py
@@ -1,8 +1,7 @@
-"""Brings endpoints to the versions that placements ask for, by fenced orders.
+"""Sends fenced orders to endpoints to load the versions that placements name.
 
-Endpoints that check orders refuse an old fence. For those that do not, a new holder of the lease
-waits until every order of the last one is past its `valid_until`, and no order is sent whose
-`valid_until` lies beyond the time for which its sender surely holds the lease.
+Endpoints that check orders refuse an old fencing token. For the others, a new leader waits until all
+orders of the previous one have expired.
 """
 
 import asyncio
@@ -21,12 +20,12 @@
 from stairquay.core.models import EndpointSpec, Placement, Service
 
 CLOCK_SKEW_S = 0.5
-"""By how much the clocks of boxes and endpoints may differ."""
+"""Largest clock difference between boxes and endpoints."""
 
 
 @dataclass(frozen=True)
 class EndpointReport:
-    """An endpoint and what it last said of itself."""
+    """An endpoint, its address and the state that it reported."""
 
     endpoint: EndpointSpec
     address: str
@@ -34,7 +33,7 @@
 
 
 class Reconciler:
-    """Compares what endpoints run with what placements ask for, and sends orders."""
+    """Compares the versions that endpoints run with their placements, and sends orders."""
 
     def __init__(
         self,
@@ -51,7 +50,7 @@
         self.metrics = metrics
 
     async def reconcile(self) -> None:
-        """Look at every placement once."""
+        """Reconcile every placement once."""
         configuration = self.view.configuration
         reconciliations = []
         for placement in configuration.placements.values():
@@ -100,8 +99,8 @@
         outcome = await send_order(self.session, item.address, order, self.settings.order_timeout_s)
         self.metrics.orders.labels(outcome.value).inc()
         if outcome == OrderOutcome.ACCEPTED:
-            logging.info("endpoint %s loads version %s", item.endpoint.id, version.id)
+            logging.info("endpoint %s accepted the order to load version %s", item.endpoint.id, version.id)
 
     def _previous_orders_expired(self) -> bool:
-        """Tell whether all orders of the last holder of the lease have lapsed."""
+        """Tell whether all orders of the previous leader have expired."""
         return self.leader.held_for_s() > self.settings.order_validity_s + CLOCK_SKEW_S
--- a/stairquay/control/plans.py
+++ b/stairquay/control/plans.py
@@ -1,4 +1,4 @@
-"""Plans in the table service: proposed by one write, confirmed by one conditional transaction."""
+"""Creates plans in the table service, and applies them by one conditional transaction."""
 
 import asyncio
 import secrets
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class StoredPlan:
-    """A plan as the table has it."""
+    """A plan and the revision of its row in the table service."""
 
     plan: Plan
     revision: int
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class ConfirmedPlan:
-    """A plan in force from `revision` on."""
+    """A plan that was applied at `revision`."""
 
     plan: Plan
     revision: int
@@ -44,13 +44,13 @@
 
 @dataclass(frozen=True)
 class StalePlan:
-    """Why a plan can no longer be confirmed: the rows that changed since it was made."""
+    """A plan that can no longer be confirmed, since the rows in `changed` differ from its basis."""
 
     changed: tuple[Basis, ...]
 
 
 class PlanService:
-    """Makes, reads and confirms plans; keeps none itself."""
+    """Makes, reads and confirms plans; holds none in memory."""
 
     def __init__(self, platform: Platform, confirm_timeout_s: float) -> None:
         self.platform = platform
@@ -59,7 +59,7 @@
     async def propose(
         self, request: PlanRequest, running: RuntimeState
     ) -> Result[Plan, Refusal | list[Mistake]]:
-        """Make a plan on the table's own newest configuration and write it down."""
+        """Make a plan from the newest configuration in the table service, and store it."""
         read = await self.platform.changes(0, PREFIX)
         if isinstance(read, Err):
             return Err(_platform_refusal(read.err_value))
@@ -88,10 +88,9 @@
         return Ok(StoredPlan(msgspec.json.decode(row.value, type=Plan), row.revision))
 
     async def confirm(self, plan_id: str) -> Result[ConfirmedPlan | StalePlan, Refusal]:
-        """Put a plan into force, if nothing that it stands on has changed.
+        """Apply a plan unless a row of its basis has changed.
 
-        To confirm a plan twice is the same as once. Where the answer of the write is lost, the
-        plan's own row tells what became of it.
+        The call is idempotent. If the reply to the commit is lost, the plan's row shows the outcome.
         """
         read = await self.read(plan_id)
         if isinstance(read, Err):
@@ -112,7 +111,7 @@
     async def _resolve_lost_reply(
         self, plan_id: str, confirmed: Plan
     ) -> Result[ConfirmedPlan | StalePlan, Refusal]:
-        """Read what became of a confirmation whose answer was lost."""
+        """Poll the plan's row for the outcome of a commit whose reply was lost."""
         deadline = monotonic() + self.confirm_timeout_s
         while monotonic() < deadline:
             read = await self.read(plan_id)
@@ -125,7 +124,7 @@
     async def _resolve_conflict(
         self, plan_id: str, conflict: Conflict
     ) -> Result[ConfirmedPlan | StalePlan, Refusal]:
-        """Tell a plan that another call has confirmed meanwhile from one that is out of date."""
+        """Return whether another call has confirmed the plan, or the plan is stale."""
         for row in conflict.rows:
             if row.key == _plan_key(plan_id) and row.value is not None:
                 plan = msgspec.json.decode(row.value, type=Plan)
--- a/stairquay/control/status.py
+++ b/stairquay/control/status.py
@@ -1,4 +1,4 @@
-"""The state of the whole system, put together from what every router says."""
+"""Status of the whole system, merged from the status of every router."""
 
 import asyncio
 from dataclasses import dataclass
@@ -15,7 +15,12 @@
 
 @dataclass(frozen=True)
 class ProcessStatus:
-    """One process: the configuration revision in force there; `age_s` is how old the word is."""
+    """Status of one process.
+
+    revision: configuration revision that the process has loaded
+    list_as_of: version of its box list
+    age_s: seconds since the process was last heard from
+    """
 
     box: str
     role: str
@@ -28,7 +33,7 @@
 
 @dataclass(frozen=True)
 class EndpointView:
-    """One endpoint, as the router that heard from it last says."""
+    """Status of one endpoint by its newest report; `wanted` is the version of its placement."""
 
     id: str
     service: str
@@ -43,7 +48,12 @@
 
 @dataclass(frozen=True)
 class SystemStatus:
-    """All of the system. `revision` is the newest known; `behind` lists what is not at it."""
+    """Status of the whole system.
+
+    revision: newest known configuration revision
+    silent: routers that did not answer
+    kept_bytes_by_version: size of the stored segments
+    """
 
     revision: int
     list_as_of: int
@@ -60,7 +70,7 @@
 
 
 async def gather_status(view: View, channels: RouterChannels) -> SystemStatus:
-    """Ask every listed router, and put the answers together."""
+    """Fetch the status of every listed router and merge the replies."""
     routers = view.routers()
     replies = await asyncio.gather(*(_fetch_status(channels, address) for address in routers.values()))
     replies_by_box = {box: reply for box, reply in zip(routers, replies, strict=True) if reply is not None}
@@ -131,7 +141,7 @@
 
 
 def _stored_bytes_by_version(replies_by_box: dict[str, StatusReply]) -> dict[str, int]:
-    """Return kept bytes by version; routers that see the same store boxes count once."""
+    """Return stored bytes by version; a store box that several routers report counts once."""
     bytes_by_store_version: dict[tuple[str, str], int] = {}
     for reply in replies_by_box.values():
         for item in reply.kept:
--- a/stairquay/control/upkeep.py
+++ b/stairquay/control/upkeep.py
@@ -1,7 +1,6 @@
-"""Upkeep by the holder of the lease: evictions and freed data in store boxes, old rows in the table.
+"""Upkeep by the leader: evicts segments and frees data in store boxes, and deletes expired rows.
 
-Data is freed only after its manifest has been gone for longer than any import order lasts. Data
-without a manifest is an export under way until it has been seen so for that long.
+Data without a manifest may belong to an export or an import in progress; it is freed after a grace period.
 """
 
 import secrets
@@ -33,7 +32,7 @@
 
 
 class StoreUpkeep:
-    """Evicts from store boxes, and frees data that no reader can want any more."""
+    """Evicts segments from store boxes, and frees data that has no manifest."""
 
     def __init__(
         self,
@@ -52,7 +51,7 @@
         self.first_seen_by_store: dict[str, dict[str, float]] = {}
 
     async def run_once(self) -> None:
-        """Look at every store box once."""
+        """Maintain every store box once."""
         for box in self.view.membership.boxes.by_kind[BoxKind.STORE].values():
             if not self.leader.may_act():
                 return
@@ -80,7 +79,7 @@
             self.metrics.evictions.labels(box.id).inc()
 
     def _recent_inflow(self, store: str, segments: list[Segment]) -> int:
-        """Return the bytes of segments first seen within the last grace period."""
+        """Return the bytes of segments first seen within the last grace period, 0 if none was known before."""
         now = monotonic()
         previous = self.first_seen_by_store.get(store, {})
         self.first_seen_by_store[store] = {
@@ -110,7 +109,7 @@
 
 
 class TableUpkeep:
-    """Deletes claims and plans that are older than they need to be kept."""
+    """Deletes idempotency claims and plans past their retention time."""
 
     def __init__(self, table: Table, leader: Leader, settings: ControlSettings) -> None:
         self.table = table
@@ -118,7 +117,7 @@
         self.settings = settings
 
     async def run_once(self) -> None:
-        """Look at all claims and plans once."""
+        """Delete all expired claims and plans once."""
         await self._delete_expired(ONCE_PREFIX, self.settings.claim_retention_s)
         await self._delete_expired(PLAN_PREFIX, self.settings.plan_retention_s)
 
@@ -143,9 +142,9 @@
         )
         outcome = await self.table.commit(commit)
         if isinstance(outcome, Ok):
-            logging.info("%d old rows deleted", len(rows))
+            logging.info("%d expired rows deleted", len(rows))
 
 
 def _written_at(value: str) -> float:
-    """Return when a claim or plan was written, in Unix seconds; far ahead where it does not say."""
+    """Return the Unix time at which a claim or plan was written, infinity if it has none."""
     return float(msgspec.json.decode(value).get("at", float("inf")))
