--- a/stairquay/router/__init__.py
+++ b/stairquay/router/__init__.py
@@ -1,1 +1,1 @@
-"""The router program: decides where a prompt runs and which context is kept."""
+"""The router program: chooses endpoints for prompts, and imports and exports cached context."""
--- a/stairquay/router/app.py
+++ b/stairquay/router/app.py
@@ -1,4 +1,4 @@
-"""The router program."""
+"""Runs the router program."""
 
 import asyncio
 import random
@@ -22,11 +22,11 @@
 
 ROLE = "router"
 SHUTDOWN_TIMEOUT_S = 15.0
-"""Seconds that a stopping router gives to routes under way."""
+"""Time that a stopping router gives to route calls in progress."""
 
 
 async def run_router(settings: Settings, router: RouterSettings) -> None:
-    """Run the router until a stop signal, then let routes under way finish."""
+    """Run the router until a stop signal, then let route calls in progress finish."""
     view = View(settings.box.id, ROLE, settings.view.stale_s)
     platform = HttpPlatform(settings.platform.url, settings.platform.timeout_s)
     channels = RouterChannels(settings.internal_tls)
--- a/stairquay/router/exporting.py
+++ b/stairquay/router/exporting.py
@@ -1,4 +1,4 @@
-"""Exports context that is likely to return, within a share of the link that imports leave free."""
+"""Exports cached context that is likely to be reused; imports have priority on the link."""
 
 import asyncio
 import heapq
@@ -23,28 +23,28 @@
 from stairquay.router.state import RouterState, Ticket
 
 POLL_INTERVAL_S = 0.05
-"""Seconds between two looks at an empty queue, or at a link that imports keep busy."""
+"""Interval at which the queue and a busy link are polled."""
 
 MAX_QUEUED_EXPORTS = 1_000
-"""Exports that wait for one store box; beyond it the oldest goes, whose context is gone soonest."""
+"""Queued exports for one store box; beyond it the oldest is dropped, which engines evict first."""
 
 StartTask = Callable[[Coroutine[Any, Any, None]], object]
-"""Runs work in the background of the program."""
+"""Starts a background task."""
 
 RENEW_INTERVAL_S = 5.0
-"""A segment's time of use is written again at most this often."""
+"""Shortest time between two renewals of a segment's manifest."""
 
 
 @dataclass(order=True)
 class QueuedExport:
-    """A finished run whose context may be exported, by the time it is ready."""
+    """A finished run whose context may be exported, ordered by the time from which it may."""
 
     ready_at: float
     ticket: Ticket = field(compare=False)
 
 
 class Exporter:
-    """Queues of exports of one router, one for each store box, so that none waits for another's link."""
+    """Export queues of one router, one for each store box, so that a slow link delays no other."""
 
     def __init__(self, state: RouterState, session: ClientSession, start_task: StartTask) -> None:
         self.state = state
@@ -56,7 +56,7 @@
         self.renewed_at_by_segment: dict[str, float] = {}
 
     def enqueue(self, ticket: Ticket) -> None:
-        """Consider the context of a run that has ended."""
+        """Queue the context of a finished run for export."""
         service = self.state.view.configuration.services.get(ticket.service)
         store = self._choose_store(service, ticket) if service is not None else None
         if store is None or not ticket.ids:
@@ -70,7 +70,7 @@
             heapq.heappop(self.queues_by_store[store])
 
     async def _run_queue(self, store: str) -> None:
-        """Export to one store box for ever, one segment at a time."""
+        """Export to one store box until cancelled, one segment at a time."""
         queue = self.queues_by_store[store]
         while True:
             if not queue or queue[0].ready_at > monotonic():
@@ -105,7 +105,7 @@
     async def _export_segment(
         self, store: str, engine: str, order: ExportOrder, return_probability: float
     ) -> None:
-        """Write the data, then the manifest; the segment is known only after both."""
+        """Write the data, then the manifest, and only then add the segment to the index."""
         timeout_s = self.state.settings.import_timeout_s
         written = await export_blocks(self.session, engine, order, timeout_s)
         if isinstance(written, Err) or not written.ok_value.ids:
@@ -127,9 +127,9 @@
         return self.state.return_rates.probability(ticket.workspace, turns)
 
     def _choose_store(self, service: Service, ticket: Ticket) -> str | None:
-        """Return the family's own store, unless another holds most of the chain already.
+        """Return the conversation's first-ranked store box, unless another stores over half of the blocks.
 
-        What a workspace's prompts share is kept in every store, so it draws no family to one.
+        The prefix that a workspace's prompts share is in every store box, so it does not decide.
         """
         live_ids = [key for key in service.stores if key in self.state.live_stores()]
         if not live_ids:
@@ -142,7 +142,7 @@
         return fullest if stored[fullest] > max(stored[ranked_ids[0]], len(ticket.ids) / 2) else ranked_ids[0]
 
     async def _wait_for_link(self, store: str, service: Service, size: int) -> None:
-        """Wait until no import uses the link and the export's share of it allows the bytes."""
+        """Wait until no import uses the link and the bandwidth limit of exports allows `size` bytes."""
         share = self.state.settings.keep.export_link_share / max(1, len(self.state.view.live_routers()))
         rate = max(1.0, service.costs.link_bytes_s * share)
         bucket = self.bandwidth_by_store.setdefault(store, TokenBucket(rate, rate, rate, monotonic()))
@@ -152,7 +152,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _renew_segments(self, store: str, ticket: Ticket, stored_count: int) -> None:
-        """Write anew when the segments of a returned prompt were used, and what they are worth."""
+        """Update the time of use and the return probability in the manifests of reused segments."""
         now = monotonic()
         return_probability = self._return_probability(ticket)
         blocks = self.state.stored_blocks.contiguous_blocks(store, ticket.ids, 0)[:stored_count]
@@ -165,7 +165,7 @@
             self.start_task(self._renew_manifest(store, renewed))
 
     async def _renew_manifest(self, store: str, segment: Segment) -> None:
-        """Renew a manifest; one that is gone stays gone, and the catalogue will say so."""
+        """Renew a manifest unless it was deleted."""
         box = self.state.live_stores().get(store)
         if box is not None:
             await renew_manifest(self.session, box.addresses["http"], segment, RENEW_INTERVAL_S)
--- a/stairquay/router/importing.py
+++ b/stairquay/router/importing.py
@@ -1,4 +1,4 @@
-"""Brings kept context to engines: one import for all prompts that want the same blocks."""
+"""Imports stored context into engines, once for all prompts that need the same blocks."""
 
 import asyncio
 import time
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class ImportRequest:
-    """Blocks to bring to one engine: `ids` are the identities of the import's blocks, in order."""
+    """Blocks to import into one engine; `ids` are the block ids of `import_`, in order."""
 
     endpoint: str
     address: str
@@ -27,7 +27,7 @@
 
 
 class Importer:
-    """Imports under way, by endpoint and block."""
+    """Running imports by endpoint and block."""
 
     def __init__(self, state: RouterState, session: ClientSession) -> None:
         self.state = state
@@ -35,10 +35,9 @@
         self.pending: dict[tuple[str, str], asyncio.Task[int]] = {}
 
     def start(self, request: ImportRequest) -> int:
-        """Start to bring the blocks that are not on their way yet; return the bytes asked for.
+        """Start to import the blocks that no running import covers; return their size in bytes.
 
-        The engine's memory is taken to hold them from now on, so that prompts that come in the
-        meantime are sent to the same engine and wait for the same import.
+        The blocks count as cached at once, so that later prompts are routed to the same engine.
         """
         new_indexes = [
             i for i, block in enumerate(request.ids) if (request.endpoint, block) not in self.pending
@@ -55,12 +54,12 @@
         return size
 
     def pending_imports(self, endpoint: str, ids: tuple[str, ...]) -> set[asyncio.Task[int]]:
-        """Return the imports that bring any of these blocks to an engine."""
+        """Return the running imports of any of these blocks into an engine."""
         found = {self.pending.get((endpoint, block)) for block in ids}
         return {task for task in found if task is not None}
 
     async def wait_for_pending(self) -> None:
-        """Wait for the imports under way."""
+        """Wait until the running imports have ended."""
         await asyncio.gather(*set(self.pending.values()), return_exceptions=True)
 
     def _import_order(self, request: ImportRequest, new_indexes: list[int]) -> ImportOrder:
--- a/stairquay/router/polling.py
+++ b/stairquay/router/polling.py
@@ -1,4 +1,4 @@
-"""Polls engines for load and cache events, and store boxes for their catalogues."""
+"""Polls engines for load reports and cache events, and store boxes for their catalogues."""
 
 import asyncio
 import random
@@ -18,14 +18,14 @@
 
 @dataclass
 class EventCursor:
-    """How far the events of one source were read."""
+    """Incarnation of a source, and number of the last event or change read from it."""
 
     incarnation: str = ""
     last_number: int = 0
 
 
 class Poller:
-    """Keeps a router's soft state near what endpoints and store boxes say."""
+    """Updates a router's soft state from endpoints and store boxes."""
 
     def __init__(self, state: RouterState, session: ClientSession) -> None:
         self.state = state
@@ -34,7 +34,7 @@
         self.store_cursors: dict[str, EventCursor] = {}
 
     async def run(self) -> None:
-        """Poll for ever."""
+        """Poll until cancelled."""
         while True:
             await self.poll_once()
             self.state.expire_tickets(monotonic())
@@ -42,7 +42,7 @@
             await asyncio.sleep(self.state.settings.poll_s * jitter)
 
     async def poll_once(self) -> None:
-        """Ask every engine and every store box once, all at the same time."""
+        """Poll all engines and store boxes once, concurrently."""
         engines = [self._poll_engine(box) for box in self.state.engines().values()]
         stores = [self._poll_store(box) for box in self.state.listed_stores().values()]
         self._drop_removed_stores()
@@ -61,7 +61,7 @@
         if reported.incarnation == cursor.incarnation or not cursor.last_number:
             self._apply_events(endpoint, cursor, reported.events)
         else:
-            # The events asked for were another life's; the next round asks from the first on.
+            # The number was of an earlier incarnation; the next round fetches from the first event.
             self.state.engine_caches.reset(endpoint)
             cursor.last_number = 0
         cursor.incarnation = reported.incarnation
--- a/stairquay/router/service.py
+++ b/stairquay/router/service.py
@@ -1,4 +1,4 @@
-"""The router's gRPC service: routes, reports, views and status."""
+"""The router's gRPC service: routing, reports on runs, views and status."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Follower:
-    """A process that asked for views: what it had when it last asked, and when that was."""
+    """A process that fetches views: its revisions and the monotonic time at its last request."""
 
     name: str
     role: str
@@ -51,7 +51,7 @@
 
 
 class RouterService(RouterServicer):
-    """Answers entries, controls and other routers."""
+    """Handles calls from entries, control programs and other routers."""
 
     def __init__(self, state: RouterState, importer: Importer, exporter: Exporter) -> None:
         self.state = state
@@ -62,7 +62,7 @@
         self.active_routes = 0
 
     async def Route(self, request: RouteRequest, context: Any) -> AsyncIterator[RouteReply]:
-        """Decide where a prompt runs, and bring its context there."""
+        """Choose an endpoint for a prompt, and import stored context into it."""
         self.active_routes += 1
         try:
             async for reply in self._route(request):
@@ -71,14 +71,14 @@
             self.active_routes -= 1
 
     async def Report(self, request: ReportRequest, context: Any) -> ReportReply:
-        """Take in what became of a run."""
+        """Apply the report on a run."""
         ticket = self.state.tickets_by_number.get(request.ticket)
         if ticket is not None:
             self._apply_report(ticket, request)
         return ReportReply()
 
     async def View(self, request: ViewRequest, context: Any) -> ViewReply:
-        """Return what the caller's view lacks."""
+        """Return the rows and the box list that are newer than the caller's."""
         now = monotonic()
         key = (request.follower, request.role)
         self.followers[key] = Follower(*key, request.revision, request.list_as_of, now)
@@ -96,7 +96,7 @@
         return reply
 
     async def Status(self, request: StatusRequest, context: Any) -> StatusReply:
-        """Return what this router knows of endpoints and followers."""
+        """Return the status of this router, its followers, its endpoints and the stored context."""
         view = self.state.view
         now = monotonic()
         reply = StatusReply(
@@ -166,7 +166,7 @@
     def _start_run(
         self, service: Service, ticket: Ticket, decision: Decision
     ) -> tuple[RouteReply, ImportRequest | None]:
-        """Start the decision's import, if any, and return the reply without its `ready`."""
+        """Start the decision's import, if any, and return the reply with `ready` unset."""
         box = self.state.view.membership.boxes.by_id[ticket.endpoint]
         address = box.addresses["http"]
         import_request = self._import_request(service, ticket, decision, address)
@@ -175,7 +175,7 @@
             "import" if import_request is not None else "resident" if decision.resident_blocks else "compute"
         )
         self.state.metrics.decisions.labels(service.id, source).inc()
-        # The run itself leaves all of its blocks in memory; later prompts may count on them.
+        # After the run, the engine caches all blocks of the prompt.
         self.state.engine_caches.of(ticket.endpoint).touch(ticket.ids)
         reply = RouteReply(
             ticket=ticket.number,
@@ -212,7 +212,7 @@
             load.report = replace(load.report, version=request.version)
 
     def _record_finished(self, ticket: Ticket, cached_blocks: int) -> None:
-        """Learn from a run that ended well, and consider its context for export."""
+        """Update caches and return rates after a finished run, and queue its context for export."""
         self.state.engine_caches.correct(ticket.endpoint, ticket.ids, cached_blocks)
         turn = self.state.turn_counter.on_turn(ticket.prompt.family, ticket.turn)
         self.state.return_rates.on_turn(ticket.workspace, turn)
--- a/stairquay/router/state.py
+++ b/stairquay/router/state.py
@@ -1,4 +1,4 @@
-"""Soft state of a router, and the candidates derived from it."""
+"""Soft state of a router, and the routing candidates derived from it."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -15,41 +15,40 @@
 from stairquay.core.routing import Candidate, StoredRun
 
 STALE_AFTER_S = 3.0
-"""An endpoint not heard from for this long is used only where no other is left; a store box not at all."""
+"""Report age beyond which an endpoint is used only as a last resort, and a store box not at all."""
 
 LINK_SPEED_EWMA_WEIGHT = 0.3
-"""Weight of the newest import in the measured speed of a link."""
+"""Weight of the newest import in the moving average of a link's speed."""
 
 TICKET_TTL_S = 900.0
-"""Seconds after which a run that nobody reported on is forgotten."""
-
+"""Time after which a run without a report is removed."""
 
 FIRST_TICKET_BITS = 48
 
 
 @dataclass
 class Link:
-    """One store box's link: until when it is busy with our imports, and its measured speed."""
+    """Link to one store box: end of its reserved time, measured speed and number of running imports."""
 
     busy_until: float = 0.0
     measured_bytes_per_s: float = 0.0
     active_imports: int = 0
 
     def wait_s(self, now: float) -> float:
-        """Return seconds until the link is free of our imports."""
+        """Return the seconds until this router's imports have ended."""
         return max(0.0, self.busy_until - now)
 
     def bytes_per_s(self, default_bytes_per_s: float) -> float:
-        """Return bytes a second: measured, or as assumed where nothing was measured."""
+        """Return the measured speed, or the default before the first measurement."""
         return self.measured_bytes_per_s or default_bytes_per_s
 
     def start_import(self, size: int, default_bytes_per_s: float, now: float) -> None:
-        """Count an import that starts."""
+        """Count an import that starts, and reserve its time on the link."""
         self.active_imports += 1
         self.busy_until = max(now, self.busy_until) + size / self.bytes_per_s(default_bytes_per_s)
 
     def finish_import(self, size: int, duration_s: float, default_bytes_per_s: float) -> None:
-        """Count an import that ended, and learn the link's speed from it."""
+        """Count an import that ended, and update the measured speed."""
         self.active_imports -= 1
         if size and duration_s > 0:
             previous = self.bytes_per_s(default_bytes_per_s)
@@ -58,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Ticket:
-    """A run that was routed: what was asked, where it went, under which identities."""
+    """A routed run, kept until its report: the prompt, the chosen endpoint and the block ids."""
 
     number: int
     service: str
@@ -73,7 +72,7 @@
 
 @dataclass
 class RouterState:
-    """All that a router knows; any of it may be lost or wrong."""
+    """State of a router; any of it may be lost or out of date."""
 
     box: str
     settings: RouterSettings
@@ -91,7 +90,7 @@
     next_ticket: int = 0
 
     def __post_init__(self) -> None:
-        # Reports on runs of an earlier life of this router must match none of this one's.
+        # A random start, so that reports on runs from before a restart match no new ticket.
         self.next_ticket = 1 + self.random.getrandbits(FIRST_TICKET_BITS)
 
     def load(self, endpoint: str) -> EndpointLoad:
@@ -103,7 +102,7 @@
         return self.links_by_store.setdefault(store, Link())
 
     def engines(self) -> dict[str, Box]:
-        """Return the boxes of all engines that services name, leaving ones too, by id."""
+        """Return the boxes of all engines that services name, including leaving ones, by id."""
         boxes = self.view.membership.boxes.by_id
         endpoint_ids = set()
         for service in self.view.configuration.services.values():
@@ -112,12 +111,12 @@
         return {key: boxes[key] for key in endpoint_ids if key in boxes}
 
     def listed_stores(self) -> dict[str, Box]:
-        """Return the store boxes that the list calls live, by id."""
+        """Return the store boxes that are live in the box list, by id."""
         boxes = self.view.membership.boxes.by_kind[BoxKind.STORE]
         return {key: box for key, box in boxes.items() if self.view.membership.usable(key) is not None}
 
     def live_stores(self) -> dict[str, Box]:
-        """Return the store boxes that are listed as live and have answered of late, by id."""
+        """Return the listed store boxes with a recent catalogue, by id."""
         since = monotonic() - STALE_AFTER_S
         listed = self.listed_stores()
         return {
@@ -127,11 +126,11 @@
         }
 
     def open_ticket(self, ticket: Ticket) -> None:
-        """Remember a run until it is reported on."""
+        """Keep a run until its report."""
         self.tickets_by_number[ticket.number] = ticket
 
     def expire_tickets(self, now: float) -> None:
-        """Forget runs that nobody reported on, oldest first."""
+        """Remove runs whose report is overdue, oldest first."""
         for number, ticket in list(self.tickets_by_number.items()):
             if now - ticket.created_at < TICKET_TTL_S:
                 return
@@ -142,7 +141,7 @@
 def find_candidates(
     state: RouterState, service: Service, prompt: Prompt, excluded: frozenset[str], now: float
 ) -> list[Candidate]:
-    """Return the endpoints that a prompt may run on; silent or excluded ones where no other is left."""
+    """Return the endpoints that a prompt may run on; stale or excluded ones only if no other is left."""
     usable = [item.id for item in service.endpoints if state.view.membership.usable(item.id) is not None]
     reporting = [key for key in usable if now - state.load(key).received_at <= STALE_AFTER_S]
     pool = reporting or usable
