--- a/stairquay/control/upkeep.py
+++ b/stairquay/control/upkeep.py
@@ -79,7 +79,7 @@
             self.metrics.evictions.labels(box.id).inc()
 
     def _recent_inflow(self, store: str, segments: list[Segment]) -> int:
-        """Return the bytes of segments first seen within the last grace period, 0 if none was known before."""
+        """Return the bytes of segments first seen within the last grace period, 0 on the first pass."""
         now = monotonic()
         previous = self.first_seen_by_store.get(store, {})
         self.first_seen_by_store[store] = {
