--- a/stairquay/control/app.py
+++ b/stairquay/control/app.py
@@ -1,4 +1,4 @@
-"""The control program: any of them answers operators, and one at a time acts for all."""
+"""Runs the control program: each process serves the operator API, and the leader sends orders."""
 
 import secrets
 
@@ -13,32 +13,32 @@
 from stairquay.adapters.rpc import RouterChannels
 from stairquay.adapters.settings import ControlSettings, KeepSettings, Settings
 from stairquay.control.api import OperatorApi
-from stairquay.control.leader import Leader, perform
+from stairquay.control.leader import Leader, run_while_leading
 from stairquay.control.orders import Reconciler
-from stairquay.control.plans import Plans
+from stairquay.control.plans import PlanService
 from stairquay.control.upkeep import StoreUpkeep, TableUpkeep
 
 ROLE = "control"
-FINISH_S = 10.0
+SHUTDOWN_TIMEOUT_S = 10.0
 
 
 async def run_control(settings: Settings, control: ControlSettings) -> None:
-    """Run the control until a stop signal, then give up the lease and finish requests."""
+    """Run the control program until a stop signal, then release the lease and finish open requests."""
     view = View(settings.box.id, ROLE, settings.view.stale_s)
     platform = HttpPlatform(settings.platform.url, settings.platform.timeout_s)
     channels = RouterChannels(settings.internal_tls)
     metrics = ControlMetrics()
     keep = settings.router.keep if settings.router is not None else KeepSettings()
-    # A name of this process, not of the box: a restarted control is another holder.
+    # A restarted process must not take over the lease of the one before it.
     name = f"{settings.box.id}-{secrets.token_hex(4)}"
     leader = Leader(platform, name, control.lease_s, metrics)
-    plans = Plans(platform, settings.platform.timeout_s * 2)
+    plans = PlanService(platform, settings.platform.timeout_s * 2)
     api = OperatorApi(control, view, plans, channels, metrics)
     async with ClientSession() as session:
         site = await listen(
             api.application(),
             control.listen,
-            shutdown_timeout=FINISH_S,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
             ssl_context=server_context(control.tls),
         )
         operations = await listen_for_operations(control.metrics, view.ready, metrics.text)
@@ -47,15 +47,15 @@
         tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
         tasks.start(leader.run())
         reconciler = Reconciler(view, leader, session, control, metrics)
-        tasks.start(perform(leader, reconciler.reconcile, control.reconcile_s))
-        stores = StoreUpkeep(view, leader, session, keep, metrics)
-        tasks.start(perform(leader, stores.tend, control.upkeep_s))
-        tables = TableUpkeep(platform, leader, control)
-        tasks.start(perform(leader, tables.tend, control.upkeep_s * 10))
+        tasks.start(run_while_leading(leader, reconciler.reconcile, control.reconcile_s))
+        store_upkeep = StoreUpkeep(view, leader, session, keep, metrics)
+        tasks.start(run_while_leading(leader, store_upkeep.run_once, control.upkeep_s))
+        table_upkeep = TableUpkeep(platform, leader, control)
+        tasks.start(run_while_leading(leader, table_upkeep.run_once, control.upkeep_s * 10))
         logging.info("control %s listens on %s", name, control.listen)
         await until_stopped(tasks)
         await tasks.cancel()
-        await leader.give_up()
+        await leader.release()
         await site.cleanup()
         await operations.cleanup()
     await channels.close()
--- a/stairquay/control/orders.py
+++ b/stairquay/control/orders.py
@@ -1,8 +1,7 @@
-"""Brings endpoints to the versions that placements ask for, by fenced orders.
+"""Sends fenced orders to endpoints to load the versions that placements name.
 
-Endpoints that check orders refuse an old fence. For those that do not, a new holder of the lease
-waits until every order of the last one is past its `valid_until`, and no order is sent whose
-`valid_until` lies beyond the time for which its sender surely holds the lease.
+Endpoints that check orders refuse an old fencing token. For the others, a new leader waits until all
+orders of the previous one have expired.
 """
 
 import asyncio
@@ -21,12 +20,12 @@
 from stairquay.core.models import EndpointSpec, Placement, Service
 
 CLOCK_SKEW_S = 0.5
-"""By how much the clocks of boxes and endpoints may differ."""
+"""Largest clock difference between boxes and endpoints."""
 
 
 @dataclass(frozen=True)
-class Standing:
-    """An endpoint and what it last said of itself."""
+class EndpointReport:
+    """An endpoint, its address and the state that it reported."""
 
     endpoint: EndpointSpec
     address: str
@@ -34,7 +33,7 @@
 
 
 class Reconciler:
-    """Compares what endpoints run with what placements ask for, and sends orders."""
+    """Compares the versions that endpoints run with their placements, and sends orders."""
 
     def __init__(
         self,
@@ -51,41 +50,41 @@
         self.metrics = metrics
 
     async def reconcile(self) -> None:
-        """Look at every placement once."""
+        """Reconcile every placement once."""
         configuration = self.view.configuration
-        pairs = []
+        reconciliations = []
         for placement in configuration.placements.values():
             service = configuration.services.get(placement.service)
             if service is not None:
-                pairs.append(self._reconcile_service(service, placement))
-        await asyncio.gather(*pairs)
+                reconciliations.append(self._reconcile_service(service, placement))
+        await asyncio.gather(*reconciliations)
 
     async def _reconcile_service(self, service: Service, placement: Placement) -> None:
-        standings = await self._look(service)
-        loading = sum(1 for item in standings if item.state.loading)
-        for item in standings:
-            wrong = placement.version not in (item.state.version, item.state.loading)
-            if not wrong or item.state.loading:
+        reports = await self._fetch_reports(service)
+        loading = sum(1 for item in reports if item.state.loading)
+        for item in reports:
+            outdated = placement.version not in (item.state.version, item.state.loading)
+            if not outdated or item.state.loading:
                 continue
             if loading >= placement.max_loading:
                 return
             loading += 1
-            await self._order(item, service, placement)
+            await self._send_load_order(item, service, placement)
 
-    async def _look(self, service: Service) -> list[Standing]:
-        async def look(endpoint: EndpointSpec) -> Standing | None:
+    async def _fetch_reports(self, service: Service) -> list[EndpointReport]:
+        async def fetch_report(endpoint: EndpointSpec) -> EndpointReport | None:
             box = self.view.membership.usable(endpoint.id)
             if box is None:
                 return None
             address = box.addresses["http"]
             found = await fetch_state(self.session, address, -1, self.settings.order_timeout_s)
-            return Standing(endpoint, address, found.ok_value) if isinstance(found, Ok) else None
+            return EndpointReport(endpoint, address, found.ok_value) if isinstance(found, Ok) else None
 
-        looked = await asyncio.gather(*(look(endpoint) for endpoint in service.endpoints))
-        return [item for item in looked if item is not None]
+        results = await asyncio.gather(*(fetch_report(endpoint) for endpoint in service.endpoints))
+        return [item for item in results if item is not None]
 
-    async def _order(self, item: Standing, service: Service, placement: Placement) -> None:
-        if not item.endpoint.checks_orders and not self._last_holder_is_silent():
+    async def _send_load_order(self, item: EndpointReport, service: Service, placement: Placement) -> None:
+        if not item.endpoint.checks_orders and not self._previous_orders_expired():
             return
         version = self.view.configuration.versions.get((service.id, placement.version))
         if version is None or not self.leader.may_act():
@@ -100,8 +99,8 @@
         outcome = await send_order(self.session, item.address, order, self.settings.order_timeout_s)
         self.metrics.orders.labels(outcome.value).inc()
         if outcome == OrderOutcome.ACCEPTED:
-            logging.info("endpoint %s loads version %s", item.endpoint.id, version.id)
+            logging.info("endpoint %s accepted the order to load version %s", item.endpoint.id, version.id)
 
-    def _last_holder_is_silent(self) -> bool:
-        """Tell whether all orders of the last holder of the lease have lapsed."""
-        return self.leader.seconds_held() > self.settings.order_validity_s + CLOCK_SKEW_S
+    def _previous_orders_expired(self) -> bool:
+        """Tell whether all orders of the previous leader have expired."""
+        return self.leader.held_for_s() > self.settings.order_validity_s + CLOCK_SKEW_S
--- a/stairquay/router/polling.py
+++ b/stairquay/router/polling.py
@@ -1,4 +1,4 @@
-"""Polls engines for load and cache events, and store boxes for their catalogues."""
+"""Polls engines for load reports and cache events, and store boxes for their catalogues."""
 
 import asyncio
 import random
@@ -17,24 +17,24 @@
 
 
 @dataclass
-class Position:
-    """How far the events of one source were read."""
+class EventCursor:
+    """Incarnation of a source, and number of the last event or change read from it."""
 
     incarnation: str = ""
-    last: int = 0
+    last_number: int = 0
 
 
 class Poller:
-    """Keeps a router's soft state near what endpoints and store boxes say."""
+    """Updates a router's soft state from endpoints and store boxes."""
 
     def __init__(self, state: RouterState, session: ClientSession) -> None:
         self.state = state
         self.session = session
-        self.engine_positions: dict[str, Position] = {}
-        self.store_positions: dict[str, Position] = {}
+        self.engine_cursors: dict[str, EventCursor] = {}
+        self.store_cursors: dict[str, EventCursor] = {}
 
     async def run(self) -> None:
-        """Poll for ever."""
+        """Poll until cancelled."""
         while True:
             await self.poll_once()
             self.state.expire_tickets(monotonic())
@@ -42,36 +42,36 @@
             await asyncio.sleep(self.state.settings.poll_s * jitter)
 
     async def poll_once(self) -> None:
-        """Ask every engine and every store box once, all at the same time."""
+        """Poll all engines and store boxes once, concurrently."""
         engines = [self._poll_engine(box) for box in self.state.engines().values()]
         stores = [self._poll_store(box) for box in self.state.listed_stores().values()]
-        self._forget_gone_stores()
+        self._drop_removed_stores()
         await asyncio.gather(*engines, *stores)
 
     async def _poll_engine(self, box: Box) -> None:
-        position = self.engine_positions.setdefault(box.id, Position())
+        cursor = self.engine_cursors.setdefault(box.id, EventCursor())
         timeout_s = self.state.settings.endpoint_timeout_s
-        outcome = await fetch_state(self.session, box.addresses["http"], position.last, timeout_s)
+        outcome = await fetch_state(self.session, box.addresses["http"], cursor.last_number, timeout_s)
         if isinstance(outcome, Err):
             return
-        self._take_engine(box.id, position, outcome.ok_value)
+        self._apply_engine_state(box.id, cursor, outcome.ok_value)
 
-    def _take_engine(self, endpoint: str, position: Position, reported: EngineState) -> None:
+    def _apply_engine_state(self, endpoint: str, cursor: EventCursor, reported: EngineState) -> None:
         now = monotonic()
-        if reported.incarnation == position.incarnation or not position.last:
-            self._take_events(endpoint, position, reported.events)
+        if reported.incarnation == cursor.incarnation or not cursor.last_number:
+            self._apply_events(endpoint, cursor, reported.events)
         else:
-            # The events asked for were another life's; the next round asks from the first on.
-            self.state.memories.reset(endpoint)
-            position.last = 0
-        position.incarnation = reported.incarnation
+            # The number was of an earlier incarnation; the next round fetches from the first event.
+            self.state.engine_caches.reset(endpoint)
+            cursor.last_number = 0
+        cursor.incarnation = reported.incarnation
         membership = self.state.view.membership
         if reported.leaving:
             membership.on_leaving(endpoint, reported.incarnation)
         else:
             membership.on_alive(endpoint, reported.incarnation)
         if reported.cache_tokens:
-            self.state.memories.of(endpoint).capacity_tokens = reported.cache_tokens
+            self.state.engine_caches.of(endpoint).capacity_tokens = reported.cache_tokens
         report = LoadReport(
             taken_at=now - reported.age_s,
             queued_tokens=reported.queued_tokens,
@@ -84,49 +84,49 @@
         )
         self.state.load(endpoint).on_report(report, now)
 
-    def _take_events(self, endpoint: str, position: Position, events: tuple[CacheEvent, ...]) -> None:
-        memory = self.state.memories.of(endpoint)
+    def _apply_events(self, endpoint: str, cursor: EventCursor, events: tuple[CacheEvent, ...]) -> None:
+        cache = self.state.engine_caches.of(endpoint)
         for event in events:
-            if event.number <= position.last:
+            if event.number <= cursor.last_number:
                 continue
-            lost = event.number - position.last - 1
-            if lost and position.last:
-                self.state.metrics.lost_events.inc(lost)
-            position.last = event.number
+            missed_events = event.number - cursor.last_number - 1
+            if missed_events and cursor.last_number:
+                self.state.metrics.lost_events.inc(missed_events)
+            cursor.last_number = event.number
             if event.kind == EventKind.STORED:
-                memory.touch(event.ids)
+                cache.touch(event.ids)
             else:
-                memory.drop(event.ids)
+                cache.drop(event.ids)
 
     async def _poll_store(self, box: Box) -> None:
-        position = self.store_positions.setdefault(box.id, Position())
+        cursor = self.store_cursors.setdefault(box.id, EventCursor())
         outcome = await fetch_catalogue(
             self.session,
             box.addresses["http"],
-            position.incarnation,
-            position.last,
+            cursor.incarnation,
+            cursor.last_number,
             self.state.settings.endpoint_timeout_s,
         )
         if isinstance(outcome, Err):
             return
-        self._take_catalogue(box.id, position, outcome.ok_value)
+        self._apply_catalogue(box.id, cursor, outcome.ok_value)
 
-    def _take_catalogue(self, store: str, position: Position, catalogue: Catalogue) -> None:
+    def _apply_catalogue(self, store: str, cursor: EventCursor, catalogue: Catalogue) -> None:
         if catalogue.whole:
-            self.state.kept.reset(store)
+            self.state.stored_blocks.reset(store)
         for change in catalogue.changes:
             if change.segment is None:
-                self.state.kept.remove(store, change.name)
+                self.state.stored_blocks.remove(store, change.name)
             else:
-                self.state.kept.add(store, change.segment)
-        position.incarnation = catalogue.incarnation
-        position.last = catalogue.last_change
-        self.state.stores_heard_at[store] = monotonic()
+                self.state.stored_blocks.add(store, change.segment)
+        cursor.incarnation = catalogue.incarnation
+        cursor.last_number = catalogue.last_change
+        self.state.catalogue_received_at_by_store[store] = monotonic()
         self.state.metrics.kept_bytes.labels(store).set(catalogue.used)
 
-    def _forget_gone_stores(self) -> None:
-        live = self.state.listed_stores()
-        for store in list(self.store_positions):
-            if store not in live:
-                del self.store_positions[store]
-                self.state.kept.reset(store)
+    def _drop_removed_stores(self) -> None:
+        listed = self.state.listed_stores()
+        for store in list(self.store_cursors):
+            if store not in listed:
+                del self.store_cursors[store]
+                self.state.stored_blocks.reset(store)
