--- a/stairquay/adapters/clock.py
+++ b/stairquay/adapters/clock.py
@@ -17,7 +17,7 @@
     return time.clock_gettime(_CLOCK)
 
 
-class SteadyLoop(asyncio.SelectorEventLoop):
+class BoottimeEventLoop(asyncio.SelectorEventLoop):
     """A loop whose waits end by that clock, too. What ended while the machine was suspended is done at the
     first event or timer after it, in place of as much later: a caller is answered when its time is over."""
 
@@ -28,5 +28,5 @@
 
 def run(main: Coroutine[Any, Any, Result]) -> Result:
     """Run a program on such a loop to its end."""
-    with asyncio.Runner(loop_factory=SteadyLoop) as runner:
+    with asyncio.Runner(loop_factory=BoottimeEventLoop) as runner:
         return runner.run(main)
--- a/stairquay/adapters/engine.py
+++ b/stairquay/adapters/engine.py
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True)
-class Imported:
+class ImportResult:
     """How many leading blocks of the order arrived whole, and the link's queue after it."""
 
     blocks: int
@@ -118,7 +118,7 @@
 
 
 @dataclass(frozen=True)
-class Exported:
+class ExportResult:
     """The blocks that were written, first to last, with the checksum of each."""
 
     ids: tuple[str, ...]
@@ -134,16 +134,16 @@
 
 async def import_blocks(
     session: ClientSession, address: str, order: ImportOrder, timeout_s: float
-) -> Result[Imported, str]:
+) -> Result[ImportResult, str]:
     """Have an engine read blocks from a store box."""
-    return await _call(session, "POST", f"http://{address}/kv/import", order, Imported, timeout_s)
+    return await _call(session, "POST", f"http://{address}/kv/import", order, ImportResult, timeout_s)
 
 
 async def export_blocks(
     session: ClientSession, address: str, order: ExportOrder, timeout_s: float
-) -> Result[Exported, str]:
+) -> Result[ExportResult, str]:
     """Have an engine write blocks to a store box."""
-    return await _call(session, "POST", f"http://{address}/kv/export", order, Exported, timeout_s)
+    return await _call(session, "POST", f"http://{address}/kv/export", order, ExportResult, timeout_s)
 
 
 async def send_order(session: ClientSession, address: str, order: Order, timeout_s: float) -> OrderOutcome:
--- a/stairquay/adapters/follower.py
+++ b/stairquay/adapters/follower.py
@@ -50,7 +50,7 @@
         self.membership = Membership()
         self.freshness = Freshness(stale_s)
 
-    def take(self, update: Update) -> None:
+    def apply(self, update: Update) -> None:
         """Merge what a source gave."""
         before = self.configuration.revision
         self.configuration = merge(self.configuration, update.rows, update.revision)
@@ -80,15 +80,15 @@
         return self.freshness.reach(monotonic())
 
 
-Round = Callable[[View], Awaitable[None]]
+RefreshRound = Callable[[View], Awaitable[None]]
 """One round of refreshing a view; it never raises."""
 
 
-async def follow(view: View, one_round: Round, poll_s: float, limit_s: float) -> None:
+async def follow(view: View, one_round: RefreshRound, poll_s: float, timeout_s: float) -> None:
     """Refresh a view for ever, logging when it turns ready or not."""
     was_ready = False
     while True:
-        await _run(one_round, view, limit_s)
+        await _run_round(one_round, view, timeout_s)
         ready = view.ready()
         if ready != was_ready:
             logging.info("view is %s (reach: %s)", "ready" if ready else "not ready", view.reach().value)
@@ -96,23 +96,23 @@
         await asyncio.sleep(poll_s * (1 + JITTER_SHARE * (random.random() - 0.5)))
 
 
-async def _run(one_round: Round, view: View, limit_s: float) -> None:
+async def _run_round(one_round: RefreshRound, view: View, timeout_s: float) -> None:
     """Run a round; one that hangs, or in which something is cancelled, must not end the following."""
-    limit = asyncio.timeout(limit_s)
+    limit = asyncio.timeout(timeout_s)
     try:
         async with limit:
             await one_round(view)
     except TimeoutError:
         if not limit.expired():
             raise
-        logging.error("a round of following did not end within %.1f s, and was given up", limit_s)
+        logging.error("a round of following did not end within %.1f s, and was given up", timeout_s)
     except asyncio.CancelledError:
         if being_cancelled():
             raise
         logging.error("a round of following was cancelled from inside")
 
 
-async def ask_platform(platform: Platform, view: View) -> Result[Update, str]:
+async def fetch_from_platform(platform: Platform, view: View) -> Result[Update, str]:
     """Return what the platform has that the view has not."""
     changes, boxes = await asyncio.gather(
         platform.changes(view.configuration.revision, PREFIX), platform.boxes()
@@ -126,7 +126,7 @@
     return Ok(Update(True, True, revision, rows, boxes.ok_value))
 
 
-async def ask_router(
+async def fetch_from_router(
     channels: RouterChannels, address: str, view: View, timeout_s: float
 ) -> Result[Update, str]:
     """Return what a router has that the view has not."""
@@ -146,10 +146,10 @@
             raise
         logging.warning("a question to router %s was cancelled with its channel", address)
         return Err("cancelled")
-    return _update_of(reply)
+    return _decode_update(reply)
 
 
-def _update_of(reply: ViewReply) -> Result[Update, str]:
+def _decode_update(reply: ViewReply) -> Result[Update, str]:
     boxes = None
     if reply.boxes:
         try:
@@ -162,41 +162,41 @@
     return Ok(Update(reply.loaded, reply.fresh, reply.revision, rows, boxes))
 
 
-def platform_round(platform: Platform) -> Callable[[View], Awaitable[bool]]:
+def platform_refresher(platform: Platform) -> Callable[[View], Awaitable[bool]]:
     """Return a step that refreshes a view from the platform and tells whether it answered."""
 
-    async def step(view: View) -> bool:
-        outcome = await ask_platform(platform, view)
+    async def refresh(view: View) -> bool:
+        outcome = await fetch_from_platform(platform, view)
         if isinstance(outcome, Err):
             return False
-        view.take(outcome.ok_value)
+        view.apply(outcome.ok_value)
         view.freshness.on_platform(monotonic())
         return True
 
-    return step
+    return refresh
 
 
-def routers_round(
+def routers_refresher(
     channels: RouterChannels,
     settings: ViewSettings,
     addresses: Callable[[View], Sequence[str]],
-    need_fresh: bool,
+    require_fresh: bool,
 ) -> Callable[[View], Awaitable[bool]]:
     """Return a step that refreshes a view from several routers and tells whether any answered."""
 
-    async def ask(view: View, address: str) -> bool:
-        outcome = await ask_router(channels, address, view, settings.timeout_s)
+    async def fetch_and_apply(view: View, address: str) -> bool:
+        outcome = await fetch_from_router(channels, address, view, settings.timeout_s)
         if isinstance(outcome, Err):
             return False
         update = outcome.ok_value
-        view.take(update)
-        if need_fresh and not update.fresh:
+        view.apply(update)
+        if require_fresh and not update.fresh:
             return False
         view.freshness.on_peer(address, monotonic(), update.loaded)
         return True
 
-    async def step(view: View) -> bool:
-        answers = await asyncio.gather(*(ask(view, address) for address in addresses(view)))
+    async def refresh(view: View) -> bool:
+        answers = await asyncio.gather(*(fetch_and_apply(view, address) for address in addresses(view)))
         return any(answers)
 
-    return step
+    return refresh
--- a/stairquay/adapters/followers.py
+++ b/stairquay/adapters/followers.py
@@ -3,54 +3,54 @@
 import random
 from collections.abc import Sequence
 
-from stairquay.adapters.follower import Round, View, platform_round, routers_round
+from stairquay.adapters.follower import RefreshRound, View, platform_refresher, routers_refresher
 from stairquay.adapters.platform import HttpPlatform
 from stairquay.adapters.rpc import RouterChannels
 from stairquay.adapters.settings import ViewSettings
 from stairquay.core.freshness import peers_for_majority
 
-ROUTERS_ASKED = 2
+MAX_FALLBACK_ROUTERS = 2
 """Other routers that are asked for a view where the box's own does not answer."""
 
 
-def follow_routers(
+def router_first_round(
     settings: ViewSettings, own: str, platform: HttpPlatform, channels: RouterChannels
-) -> Round:
+) -> RefreshRound:
     """Return a round that asks the box's own router, then others, then the platform."""
 
     def others(view: View) -> Sequence[str]:
-        listed = sorted(set(view.routers().values()) - {own}) or list(settings.seeds)
-        return random.sample(listed, min(ROUTERS_ASKED, len(listed)))
+        addresses = sorted(set(view.routers().values()) - {own}) or list(settings.seeds)
+        return random.sample(addresses, min(MAX_FALLBACK_ROUTERS, len(addresses)))
 
-    ask_own = routers_round(channels, settings, lambda _: [own], need_fresh=True)
-    ask_others = routers_round(channels, settings, others, need_fresh=True)
-    ask_platform = platform_round(platform)
+    refresh_from_own_router = routers_refresher(channels, settings, lambda _: [own], require_fresh=True)
+    refresh_from_other_routers = routers_refresher(channels, settings, others, require_fresh=True)
+    refresh_from_platform = platform_refresher(platform)
 
     async def one_round(view: View) -> None:
-        if not await ask_own(view) and not await ask_others(view):
-            await ask_platform(view)
-        await channels.keep_only({own, *settings.seeds, *view.routers().values()})
+        if not await refresh_from_own_router(view) and not await refresh_from_other_routers(view):
+            await refresh_from_platform(view)
+        await channels.close_others({own, *settings.seeds, *view.routers().values()})
         channels.connect(view.live_routers().values())
 
     return one_round
 
 
-def follow_platform(
+def platform_first_round(
     settings: ViewSettings, own: str, platform: HttpPlatform, channels: RouterChannels
-) -> Round:
+) -> RefreshRound:
     """Return a router's round: the platform, and all other routers where it does not answer."""
 
     def peers(view: View) -> Sequence[str]:
-        listed = set(view.routers().values()) or set(settings.seeds)
-        return sorted(listed - {own})
+        addresses = set(view.routers().values()) or set(settings.seeds)
+        return sorted(addresses - {own})
 
-    ask_platform = platform_round(platform)
-    ask_peers = routers_round(channels, settings, peers, need_fresh=False)
+    refresh_from_platform = platform_refresher(platform)
+    refresh_from_peers = routers_refresher(channels, settings, peers, require_fresh=False)
 
     async def one_round(view: View) -> None:
         view.freshness.required_peers = peers_for_majority(max(1, len(view.live_routers())))
-        if not await ask_platform(view):
-            await ask_peers(view)
-        await channels.keep_only({*settings.seeds, *view.routers().values()})
+        if not await refresh_from_platform(view):
+            await refresh_from_peers(view)
+        await channels.close_others({*settings.seeds, *view.routers().values()})
 
     return one_round
--- a/stairquay/adapters/rpc.py
+++ b/stairquay/adapters/rpc.py
@@ -35,14 +35,14 @@
             self.stub(address)
             self.channels_by_address[address].get_state(try_to_connect=True)
 
-    async def keep_only(self, addresses: set[str]) -> None:
+    async def close_others(self, addresses: set[str]) -> None:
         """Close the channels to routers that are gone."""
         for address in set(self.channels_by_address) - addresses:
             await self.channels_by_address.pop(address).close()
 
     async def close(self) -> None:
         """Close all channels."""
-        await self.keep_only(set())
+        await self.close_others(set())
 
     def _open(self, address: str) -> grpc.aio.Channel:
         if not self.tls.certificate:
--- a/stairquay/control/app.py
+++ b/stairquay/control/app.py
@@ -6,7 +6,7 @@
 from aiohttp import ClientSession
 
 from stairquay.adapters.follower import View, follow
-from stairquay.adapters.followers import follow_routers
+from stairquay.adapters.followers import router_first_round
 from stairquay.adapters.metrics import ControlMetrics
 from stairquay.adapters.platform import HttpPlatform
 from stairquay.adapters.program import Tasks, listen, listen_for_operations, server_context, until_stopped
@@ -43,7 +43,7 @@
         )
         operations = await listen_for_operations(control.metrics, view.ready, metrics.text)
         tasks = Tasks()
-        one_round = follow_routers(settings.view, control.router, platform, channels)
+        one_round = router_first_round(settings.view, control.router, platform, channels)
         tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
         tasks.start(leader.run())
         reconciler = Reconciler(view, leader, session, control, metrics)
--- a/stairquay/entry/app.py
+++ b/stairquay/entry/app.py
@@ -7,7 +7,7 @@
 from aiohttp import ClientSession, web
 
 from stairquay.adapters.follower import View, follow
-from stairquay.adapters.followers import follow_routers
+from stairquay.adapters.followers import router_first_round
 from stairquay.adapters.platform import HttpPlatform
 from stairquay.adapters.program import (
     Tasks,
@@ -68,7 +68,7 @@
         reuse_port=entry.reuse_port,
     )
     tasks = Tasks()
-    one_round = follow_routers(settings.view, entry.router, platform, channels)
+    one_round = router_first_round(settings.view, entry.router, platform, channels)
     tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
     logging.info("entry %s listens on %s", settings.box.id, entry.listen)
     await until_stopped(tasks)
--- a/stairquay/router/app.py
+++ b/stairquay/router/app.py
@@ -8,7 +8,7 @@
 from aiohttp import ClientSession
 
 from stairquay.adapters.follower import View, follow
-from stairquay.adapters.followers import follow_platform
+from stairquay.adapters.followers import platform_first_round
 from stairquay.adapters.platform import HttpPlatform
 from stairquay.adapters.program import Tasks, listen_for_operations, until_stopped, wait_until
 from stairquay.adapters.router_pb2_grpc import add_RouterServicer_to_server
@@ -44,7 +44,7 @@
         site = await listen_for_operations(
             router.metrics, lambda: view.ready() and not stopping.is_set(), state.metrics.text
         )
-        one_round = follow_platform(settings.view, router.listen, platform, channels)
+        one_round = platform_first_round(settings.view, router.listen, platform, channels)
         tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
         tasks.start(Poller(state, session).run())
         logging.info("router %s listens on %s", settings.box.id, router.listen)
--- a/stairquay/router/exporting.py
+++ b/stairquay/router/exporting.py
@@ -12,7 +12,7 @@
 from result import Err
 
 from stairquay.adapters.clock import monotonic
-from stairquay.adapters.engine import Exported, ExportOrder, export_blocks
+from stairquay.adapters.engine import ExportOrder, ExportResult, export_blocks
 from stairquay.adapters.store import put_manifest, renew_manifest
 from stairquay.core.admission import TokenBucket
 from stairquay.core.models import Service
@@ -167,7 +167,7 @@
             await renew_manifest(self.session, box.addresses["http"], segment, RENEW_S)
 
 
-def _segment(order: ExportOrder, written: Exported, worth: float) -> Segment:
+def _segment(order: ExportOrder, written: ExportResult, worth: float) -> Segment:
     return Segment(
         name=order.segment,
         ids=written.ids,
--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -234,7 +234,7 @@
         "config",
         "taking the configuration from peers",
         "stairquay/adapters/followers.py",
-        "await ask_peers(view)",
+        "await refresh_from_peers(view)",
         "return",
         "A process that is started in an outage",
     ),
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -18,10 +18,10 @@
 
 from stairquay.adapters.engine import (
     EngineState,
-    Exported,
     ExportOrder,
-    Imported,
+    ExportResult,
     ImportOrder,
+    ImportResult,
     Order,
 )
 from tests.standins.batch import Batch, Parameters, Run
@@ -271,7 +271,7 @@
         if order.version == self.version and not self.faults.leaving:
             brought = await self.read_blocks(order)
         self.imports["blocks"] += brought
-        return reply(Imported(brought, brought * order.block_bytes))
+        return reply(ImportResult(brought, brought * order.block_bytes))
 
     async def read_blocks(self, order: ImportOrder) -> int:
         """Read blocks run by run; stop at the first that is not whole, and after the deadline."""
@@ -323,7 +323,7 @@
                     return reply(None, 507)
         except ClientError:
             return reply(None, 502)
-        return reply(Exported(tuple(ids), tuple(checksum_of(item) for item in payloads)))
+        return reply(ExportResult(tuple(ids), tuple(checksum_of(item) for item in payloads)))
 
     async def audit(self, request: web.Request) -> web.Response:
         runs = [
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from stairquay.adapters.follower import View, ask_router, follow
+from stairquay.adapters.follower import View, fetch_from_router, follow
 from stairquay.adapters.program import wait_until
 
 LIMIT_S = 0.2
@@ -26,13 +26,15 @@
 
 
 def test_a_question_that_is_cancelled_with_its_channel_counts_as_no_answer():
-    outcome = asyncio.run(ask_router(Channels(), "r:1", View("box-1", "entry", 5.0), 1.0))
+    outcome = asyncio.run(fetch_from_router(Channels(), "r:1", View("box-1", "entry", 5.0), 1.0))
     assert outcome.is_err() and outcome.err_value == "cancelled"
 
 
 def test_a_question_ends_with_the_task_that_asks():
     async def scenario() -> bool:
-        asking = asyncio.create_task(ask_router(Channels(hang=True), "r:1", View("b", "entry", 5.0), 1.0))
+        asking = asyncio.create_task(
+            fetch_from_router(Channels(hang=True), "r:1", View("b", "entry", 5.0), 1.0)
+        )
         await asyncio.sleep(0.01)
         asking.cancel()
         await asyncio.wait([asking])
