--- a/stairquay/adapters/engine.py
+++ b/stairquay/adapters/engine.py
@@ -166,7 +166,7 @@
     method: str,
     url: str,
     body: object,
-    kind: type[T],
+    response_type: type[T],
     timeout_s: float,
 ) -> Result[T, str]:
     data = None if body is None else msgspec.json.encode(body)
@@ -176,6 +176,6 @@
             text = await response.read()
             if response.status != HTTP_OK:
                 return Err(f"status {response.status}")
-            return Ok(msgspec.json.decode(text, type=kind))
+            return Ok(msgspec.json.decode(text, type=response_type))
     except (ClientError, asyncio.TimeoutError, msgspec.MsgspecError) as error:
         return Err(type(error).__name__)
--- a/stairquay/adapters/metrics.py
+++ b/stairquay/adapters/metrics.py
@@ -5,13 +5,13 @@
 MAX_LABELS = 1_000
 """Workspaces and services beyond this many share the label `other`."""
 
-OTHER = "other"
+OTHER_LABEL = "other"
 
 TIME_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2.5, 5, 10, 30, 60)
 TOKEN_BUCKETS = (0, 256, 1_024, 4_096, 16_384, 65_536, 262_144)
 
 
-class Labels:
+class LabelLimiter:
     """Gives out labels up to a number of different ones."""
 
     def __init__(self, limit: int = MAX_LABELS) -> None:
@@ -23,7 +23,7 @@
         if name in self.known:
             return name
         if len(self.known) >= self.limit:
-            return OTHER
+            return OTHER_LABEL
         self.known.add(name)
         return name
 
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self.labels = Labels()
+        self.labels = LabelLimiter()
         by_workspace = ["workspace", "service"]
         self.requests = Counter(
             "stairquay_requests", "Requests that came in", by_workspace, registry=self.registry
--- a/stairquay/adapters/platform.py
+++ b/stairquay/adapters/platform.py
@@ -26,7 +26,7 @@
     def __init__(self, url: str, timeout_s: float) -> None:
         self.url = url.rstrip("/")
         self.session = ClientSession(timeout=ClientTimeout(total=timeout_s))
-        self.listed = BoxList()
+        self.cached_boxes = BoxList()
 
     async def close(self) -> None:
         """Free the connections."""
@@ -35,28 +35,28 @@
     async def get(self, key: str) -> Result[Row | None, PlatformFault]:
         """Return a row, or None where there is none."""
         reply = await self._call("GET", f"/table/rows/{quote(key, safe='')}")
-        return reply.and_then(lambda got: _optional(got, Row))
+        return reply.and_then(lambda response: _decode_optional(response, Row))
 
     async def changes(self, since: int, prefix: str) -> Result[Changes, PlatformFault]:
         """Return the rows under a prefix that changed after a revision."""
         reply = await self._call("GET", f"/table/changes?since={since}&prefix={quote(prefix, safe='')}")
-        return reply.and_then(lambda got: _decode(got, Changes))
+        return reply.and_then(lambda response: _decode(response, Changes))
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflict, PlatformFault]:
         """Write all rows if all conditions hold."""
         reply = await self._call("POST", "/table/commits", msgspec.json.encode(commit))
-        return reply.and_then(_commit_outcome)
+        return reply.and_then(_decode_commit)
 
     async def boxes(self) -> Result[BoxList, PlatformFault]:
         """Return the list as the platform has it now; an unchanged one is not sent again."""
-        held = {"If-None-Match": f'"{self.listed.as_of}"'} if self.listed.as_of else {}
-        reply = await self._call("GET", "/boxes", headers=held)
+        headers = {"If-None-Match": f'"{self.cached_boxes.as_of}"'} if self.cached_boxes.as_of else {}
+        reply = await self._call("GET", "/boxes", headers=headers)
         if isinstance(reply, Ok) and reply.ok_value[0] == HTTP_NOT_MODIFIED:
-            return Ok(self.listed)
-        listed = reply.and_then(lambda got: _decode(got, BoxList))
-        if isinstance(listed, Ok):
-            self.listed = listed.ok_value
-        return listed
+            return Ok(self.cached_boxes)
+        boxes = reply.and_then(lambda response: _decode(response, BoxList))
+        if isinstance(boxes, Ok):
+            self.cached_boxes = boxes.ok_value
+        return boxes
 
     async def _call(
         self, method: str, path: str, body: bytes | None = None, headers: dict[str, str] | None = None
@@ -64,37 +64,37 @@
         """Return status and body. Only a connection that was never made counts as unreached."""
         try:
             async with self.session.request(method, self.url + path, data=body, headers=headers) as response:
-                return _usable(response.status, await response.read())
+                return _check_status(response.status, await response.read())
         except ClientConnectorError:
             return Err(PlatformFault.UNREACHED)
         except (ClientError, asyncio.TimeoutError):
             return Err(PlatformFault.UNKNOWN)
 
 
-def _usable(status: int, body: bytes) -> Result[tuple[int, bytes], PlatformFault]:
+def _check_status(status: int, body: bytes) -> Result[tuple[int, bytes], PlatformFault]:
     if status in (HTTP_OK, HTTP_NOT_MODIFIED, HTTP_NOT_FOUND, HTTP_CONFLICT):
         return Ok((status, body))
     return Err(PlatformFault.UNKNOWN)
 
 
-def _decode(got: tuple[int, bytes], kind: type[T]) -> Result[T, PlatformFault]:
-    status, body = got
+def _decode(response: tuple[int, bytes], response_type: type[T]) -> Result[T, PlatformFault]:
+    status, body = response
     if status != HTTP_OK:
         return Err(PlatformFault.UNKNOWN)
     try:
-        return Ok(msgspec.json.decode(body, type=kind))
+        return Ok(msgspec.json.decode(body, type=response_type))
     except msgspec.MsgspecError:
         return Err(PlatformFault.UNKNOWN)
 
 
-def _optional(got: tuple[int, bytes], kind: type[T]) -> Result[T | None, PlatformFault]:
-    if got[0] == HTTP_NOT_FOUND:
+def _decode_optional(response: tuple[int, bytes], response_type: type[T]) -> Result[T | None, PlatformFault]:
+    if response[0] == HTTP_NOT_FOUND:
         return Ok(None)
-    return _decode(got, kind).map(lambda value: value)
+    return _decode(response, response_type).map(lambda value: value)
 
 
-def _commit_outcome(got: tuple[int, bytes]) -> Result[Committed | Conflict, PlatformFault]:
-    status, body = got
+def _decode_commit(response: tuple[int, bytes]) -> Result[Committed | Conflict, PlatformFault]:
+    status, body = response
     if status == HTTP_CONFLICT:
         return _decode((HTTP_OK, body), Conflict).map(lambda value: value)
-    return _decode(got, Committed).map(lambda value: value)
+    return _decode(response, Committed).map(lambda value: value)
--- a/stairquay/adapters/program.py
+++ b/stairquay/adapters/program.py
@@ -16,7 +16,7 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-class Tasks:
+class BackgroundTasks:
     """Background tasks of a program; one that fails ends the program with its error."""
 
     def __init__(self) -> None:
@@ -46,15 +46,15 @@
         self.failed.set_exception(error)
 
 
-async def until_stopped(tasks: Tasks) -> None:
+async def wait_for_stop(tasks: BackgroundTasks) -> None:
     """Wait for a stop signal, or for the failure of a background task."""
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
-    for number in STOP_SIGNALS:
-        loop.add_signal_handler(number, stopped.set)
-    waiting = asyncio.ensure_future(stopped.wait())
-    ends: set[asyncio.Future[Any]] = {waiting, tasks.failed}
-    await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
+    for signal_number in STOP_SIGNALS:
+        loop.add_signal_handler(signal_number, stopped.set)
+    stop_wait = asyncio.ensure_future(stopped.wait())
+    outcomes: set[asyncio.Future[Any]] = {stop_wait, tasks.failed}
+    await asyncio.wait(outcomes, return_when=asyncio.FIRST_COMPLETED)
     if tasks.failed.done():
         tasks.failed.result()
     logging.info("stopping: finishing what is under way")
@@ -101,7 +101,7 @@
     return [web.get("/healthz", healthz), web.get("/readyz", readyz)]
 
 
-async def listen_for_operations(
+async def listen_for_monitoring(
     address: str, ready: Callable[[], bool], metrics: Callable[[], bytes]
 ) -> web.AppRunner:
     """Serve health and metrics at an address of their own, away from callers."""
@@ -115,7 +115,7 @@
     return await listen(app, address)
 
 
-def server_context(tls: "TlsSettings") -> ssl.SSLContext | None:
+def server_tls_context(tls: "TlsSettings") -> ssl.SSLContext | None:
     """Return the TLS context of a server, None where settings name no certificate."""
     if not tls.certificate:
         return None
--- a/stairquay/adapters/rpc.py
+++ b/stairquay/adapters/rpc.py
@@ -10,7 +10,7 @@
 from stairquay.adapters.router_pb2_grpc import RouterStub
 from stairquay.adapters.settings import TlsSettings
 
-CONNECTED = 16
+MAX_PRECONNECTED_ROUTERS = 16
 """Routers to which an entry keeps a connection open whether it is used or not."""
 
 
@@ -31,7 +31,7 @@
 
     def connect(self, addresses: Iterable[str]) -> None:
         """Have channels connected before they are needed; beyond a number, they connect when used."""
-        for address in islice(addresses, CONNECTED):
+        for address in islice(addresses, MAX_PRECONNECTED_ROUTERS):
             self.stub(address)
             self.channels_by_address[address].get_state(try_to_connect=True)
 
@@ -60,9 +60,9 @@
     if not tls.certificate:
         port = server.add_insecure_port(address)
     else:
-        pair = (Path(tls.key).read_bytes(), Path(tls.certificate).read_bytes())
+        key_pair = (Path(tls.key).read_bytes(), Path(tls.certificate).read_bytes())
         credentials = grpc.ssl_server_credentials(
-            [pair],
+            [key_pair],
             root_certificates=Path(tls.authority).read_bytes(),
             require_client_auth=True,
         )
--- a/stairquay/adapters/settings.py
+++ b/stairquay/adapters/settings.py
@@ -12,7 +12,7 @@
 from stairquay.core.retention import EVICTION_ORDERS, KEEP_POLICIES
 from stairquay.core.routing import POLICIES
 
-ROUND_LIMIT = 2.0
+ROUND_TIMEOUT_FACTOR = 2.0
 """Times the limits of its calls, added up, that a round of following may take: longer ones hang."""
 
 
@@ -142,9 +142,9 @@
     control: ControlSettings | None = None
 
     @property
-    def round_limit_s(self) -> float:
+    def round_timeout_s(self) -> float:
         """Return how long a round of following may take: it asks the own router, others, and the platform."""
-        return ROUND_LIMIT * (2 * self.view.timeout_s + self.platform.timeout_s)
+        return ROUND_TIMEOUT_FACTOR * (2 * self.view.timeout_s + self.platform.timeout_s)
 
 
 @dataclass(frozen=True)
@@ -179,7 +179,9 @@
     Check("$.view.poll_s", "must be above 0 and below stale_s", lambda s: 0 < s.view.poll_s < s.view.stale_s),
     Check("$.view.seeds", "expected IP:port", lambda s: all(map(_is_address, s.view.seeds))),
     Check(
-        "$.internal_tls", "needs certificate, key and authority, or none", lambda s: _whole(s.internal_tls)
+        "$.internal_tls",
+        "needs certificate, key and authority, or none",
+        lambda s: _all_or_none(s.internal_tls),
     ),
     Check("$.entry.listen", "expected IP:port", lambda s: not s.entry or _is_address(s.entry.listen)),
     Check("$.entry.metrics", "expected IP:port", lambda s: not s.entry or _is_address(s.entry.metrics)),
@@ -229,7 +231,7 @@
 )
 
 
-def _whole(tls: TlsSettings) -> bool:
+def _all_or_none(tls: TlsSettings) -> bool:
     parts = [tls.certificate, tls.key, tls.authority]
     return all(parts) or not any(parts)
 
--- a/stairquay/control/app.py
+++ b/stairquay/control/app.py
@@ -9,7 +9,13 @@
 from stairquay.adapters.followers import router_first_round
 from stairquay.adapters.metrics import ControlMetrics
 from stairquay.adapters.platform import HttpPlatform
-from stairquay.adapters.program import Tasks, listen, listen_for_operations, server_context, until_stopped
+from stairquay.adapters.program import (
+    BackgroundTasks,
+    listen,
+    listen_for_monitoring,
+    server_tls_context,
+    wait_for_stop,
+)
 from stairquay.adapters.rpc import RouterChannels
 from stairquay.adapters.settings import ControlSettings, KeepSettings, Settings
 from stairquay.control.api import OperatorApi
@@ -39,12 +45,12 @@
             api.application(),
             control.listen,
             shutdown_timeout=FINISH_S,
-            ssl_context=server_context(control.tls),
+            ssl_context=server_tls_context(control.tls),
         )
-        operations = await listen_for_operations(control.metrics, view.ready, metrics.text)
-        tasks = Tasks()
+        operations = await listen_for_monitoring(control.metrics, view.ready, metrics.text)
+        tasks = BackgroundTasks()
         one_round = router_first_round(settings.view, control.router, platform, channels)
-        tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
+        tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_timeout_s))
         tasks.start(leader.run())
         reconciler = Reconciler(view, leader, session, control, metrics)
         tasks.start(perform(leader, reconciler.reconcile, control.reconcile_s))
@@ -53,7 +59,7 @@
         tables = TableUpkeep(platform, leader, control)
         tasks.start(perform(leader, tables.tend, control.upkeep_s * 10))
         logging.info("control %s listens on %s", name, control.listen)
-        await until_stopped(tasks)
+        await wait_for_stop(tasks)
         await tasks.cancel()
         await leader.give_up()
         await site.cleanup()
--- a/stairquay/entry/app.py
+++ b/stairquay/entry/app.py
@@ -10,12 +10,12 @@
 from stairquay.adapters.followers import router_first_round
 from stairquay.adapters.platform import HttpPlatform
 from stairquay.adapters.program import (
-    Tasks,
+    BackgroundTasks,
     health_routes,
     listen,
-    listen_for_operations,
-    server_context,
-    until_stopped,
+    listen_for_monitoring,
+    server_tls_context,
+    wait_for_stop,
     wait_until,
 )
 from stairquay.adapters.rpc import RouterChannels
@@ -56,7 +56,7 @@
 
     app.add_routes(health_routes(ready))
     app.add_routes(server.route_table())
-    operations = await listen_for_operations(entry.metrics, ready, context.metrics.text)
+    operations = await listen_for_monitoring(entry.metrics, ready, context.metrics.text)
     site = await listen(
         app,
         entry.listen,
@@ -64,14 +64,14 @@
         auto_decompress=False,
         shutdown_timeout=CLOSE_S,
         max_field_size=entry.max_header_bytes,
-        ssl_context=server_context(entry.tls),
+        ssl_context=server_tls_context(entry.tls),
         reuse_port=entry.reuse_port,
     )
-    tasks = Tasks()
+    tasks = BackgroundTasks()
     one_round = router_first_round(settings.view, entry.router, platform, channels)
-    tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
+    tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_timeout_s))
     logging.info("entry %s listens on %s", settings.box.id, entry.listen)
-    await until_stopped(tasks)
+    await wait_for_stop(tasks)
     await _finish(context, entry)
     await site.cleanup()
     await operations.cleanup()
--- a/stairquay/router/app.py
+++ b/stairquay/router/app.py
@@ -10,7 +10,7 @@
 from stairquay.adapters.follower import View, follow
 from stairquay.adapters.followers import platform_first_round
 from stairquay.adapters.platform import HttpPlatform
-from stairquay.adapters.program import Tasks, listen_for_operations, until_stopped, wait_until
+from stairquay.adapters.program import BackgroundTasks, listen_for_monitoring, wait_for_stop, wait_until
 from stairquay.adapters.router_pb2_grpc import add_RouterServicer_to_server
 from stairquay.adapters.rpc import RouterChannels, bind
 from stairquay.adapters.settings import RouterSettings, Settings
@@ -33,7 +33,7 @@
     state = RouterState(settings.box.id, router, view, random.Random())
     async with ClientSession() as session:
         importer = Importer(state, session)
-        tasks = Tasks()
+        tasks = BackgroundTasks()
         exporter = Exporter(state, session, tasks.start)
         service = RouterService(state, importer, exporter)
         server = grpc.aio.server()
@@ -41,14 +41,14 @@
         bind(server, router.listen, settings.internal_tls)
         await server.start()
         stopping = asyncio.Event()
-        site = await listen_for_operations(
+        site = await listen_for_monitoring(
             router.metrics, lambda: view.ready() and not stopping.is_set(), state.metrics.text
         )
         one_round = platform_first_round(settings.view, router.listen, platform, channels)
-        tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_limit_s))
+        tasks.start(follow(view, one_round, settings.view.poll_s, settings.round_timeout_s))
         tasks.start(Poller(state, session).run())
         logging.info("router %s listens on %s", settings.box.id, router.listen)
-        await until_stopped(tasks)
+        await wait_for_stop(tasks)
         stopping.set()
         await asyncio.sleep(router.lame_duck_s)
         await wait_until(lambda: service.routing == 0, FINISH_S)
--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -12,7 +12,7 @@
 from result import Err, Result
 
 from stairquay.adapters.clock import monotonic
-from stairquay.adapters.program import Tasks, being_cancelled, listen, until_stopped, wait_until
+from stairquay.adapters.program import BackgroundTasks, being_cancelled, listen, wait_for_stop, wait_until
 from stairquay.core.limits import UNLIMITED
 from stairquay.core.mistake import Mistake
 from stairquay.serving.boxes import BoxList
@@ -77,14 +77,14 @@
     crashes = CrashDetector(state, surroundings.peers)
     dispatcher = Dispatcher(state, surroundings.endpoints, chooser, crashes)
     front = Front(state, surroundings.callers, dispatcher, chance)
-    tasks = Tasks()
+    tasks = BackgroundTasks()
     parts_by_name = box_parts(state, surroundings, links, router, notices, chance)
     parts_by_name["reload"] = partial(_reload, state, load)
     for name, work in parts_by_name.items():
         tasks.start(kept_running(state, name, work))
     log.line(LogEvent.START, front=settings.front, data_hall=settings.data_hall)
     sites = await _listen_all(state, front, surroundings.ready_path)
-    await until_stopped(tasks)
+    await wait_for_stop(tasks)
     await _finish(state)
     for site in sites:
         await site.cleanup()
--- a/stairquay/serving/metrics.py
+++ b/stairquay/serving/metrics.py
@@ -2,7 +2,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-from stairquay.adapters.metrics import TIME_BUCKETS, TOKEN_BUCKETS, Labels
+from stairquay.adapters.metrics import TIME_BUCKETS, TOKEN_BUCKETS, LabelLimiter
 
 
 class BoxMetrics:
@@ -10,7 +10,7 @@
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self.labels = Labels()
+        self.labels = LabelLimiter()
         registry = self.registry
         self.requests = Counter("stairquay_requests", "Requests", ["workspace", "route"], registry=registry)
         self.ended = Counter(
