--- a/stairquay/box.py
+++ b/stairquay/box.py
@@ -21,7 +21,7 @@
 METRICS_PORT_OPTION = "--metrics-port"
 
 
-def plain_metrics_port(args: Sequence[str]) -> int | None:
+def parse_plain_box_command(args: Sequence[str]) -> int | None:
     """Return the port for metrics where the arguments start a box in the usual form; None for all others,
     which the command line reads."""
     if list(args) == [COMMAND]:
@@ -33,33 +33,33 @@
 
 def start_box(path: Path | None, metrics_port: int, env: Environment) -> ExitStatus:
     """Run a box until it is stopped, by the settings at `path` or where the platform names them."""
-    _load_lightly()
+    _reduce_import_cost()
     from stairquay.adapters.clock import run
     from stairquay.platform.boot import load_boot
     from stairquay.platform.names import SETTINGS_VARIABLE
     from stairquay.platform.surroundings import open_surroundings
     from stairquay.serving.app import run_box
 
-    _loaded()
+    _resume_garbage_collection()
     settings_path = path or Path(env.variables.get(SETTINGS_VARIABLE, ""))
     boot = load_boot(settings_path, metrics_port)
     if isinstance(boot, Err):
         for mistake in boot.err_value:
-            env.complain(f"{settings_path}: {mistake}")
+            env.write_error(f"{settings_path}: {mistake}")
         return ExitStatus.BAD_SETTINGS
-    start_logs()
+    configure_logging()
     table_address = boot.ok_value.table_address
     run(
         run_box(
             boot.ok_value.settings,
-            lambda: load_boot(settings_path, metrics_port).map(lambda again: again.settings),
+            lambda: load_boot(settings_path, metrics_port).map(lambda reloaded: reloaded.settings),
             lambda: open_surroundings(table_address),
         )
     )
     return ExitStatus.SUCCESS
 
 
-def start_logs() -> None:
+def configure_logging() -> None:
     """Write the libraries' log lines from their level of information on."""
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
@@ -68,7 +68,7 @@
     getLogger("transitions").setLevel(WARNING)
 
 
-def _load_lightly() -> None:
+def _reduce_import_cost() -> None:
     """Prepare for loading a box's code: hundreds of boxes start, many of them together after a loss of power.
 
     Loading makes no garbage, and looking for it takes a tenth of the processor time of a start. A box speaks
@@ -79,7 +79,7 @@
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
 
-def _loaded() -> None:
+def _resume_garbage_collection() -> None:
     """Look for garbage from now on, but not in what was loaded, which stays."""
     gc.freeze()
     gc.enable()
--- a/stairquay/cli.py
+++ b/stairquay/cli.py
@@ -14,9 +14,9 @@
 
 from stairquay import __version__
 from stairquay.adapters.clock import run
-from stairquay.box import start_box, start_logs
+from stairquay.box import configure_logging, start_box
 from stairquay.environment import Environment
-from stairquay.status import ExitStatus, ended
+from stairquay.status import ExitStatus, run_command
 
 if TYPE_CHECKING:
     from stairquay.adapters.settings import Settings
@@ -41,16 +41,16 @@
 
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
     """Run one command, and return the exit status."""
-    return ended(env, lambda: _run(args, env))
+    return run_command(env, lambda: _run(args, env))
 
 
 def _run(args: Sequence[str], env: Environment) -> ExitStatus:
-    app = _app(env)
+    app = _build_app(env)
     try:
         outcome = app(list(args), exit_on_error=False, print_error=False, result_action="return_value")
     except CycloptsError as error:
-        env.complain(str(error))
-        env.complain("`stairquay --help` lists the commands")
+        env.write_error(str(error))
+        env.write_error("`stairquay --help` lists the commands")
         return ExitStatus.USAGE
     return outcome if isinstance(outcome, ExitStatus) else ExitStatus.SUCCESS
 
@@ -71,7 +71,7 @@
 )
 
 
-def _app(env: Environment) -> App:
+def _build_app(env: Environment) -> App:
     app = App(name="stairquay", version=__version__, help="Serve prompts that come back after long gaps.")
     for program in PROGRAMS:
         app.command(_program(program, env), name=program.name)
@@ -88,22 +88,22 @@
 
 def _program(program: Program, env: Environment) -> Callable[..., ExitStatus]:
     def command(settings: SETTINGS) -> ExitStatus:
-        read = _read_settings(settings, env)
-        if read is None:
+        loaded = _read_settings(settings, env)
+        if loaded is None:
             return ExitStatus.BAD_SETTINGS
-        section = getattr(read, program.section)
+        section = getattr(loaded, program.section)
         if section is None:
-            env.complain(f"{settings}: $.{program.section}: required by this program, but missing")
+            env.write_error(f"{settings}: $.{program.section}: required by this program, but missing")
             return ExitStatus.BAD_SETTINGS
-        start_logs()
-        run(_runner(program.name)(read, section))
+        configure_logging()
+        run(_import_main(program.name)(loaded, section))
         return ExitStatus.SUCCESS
 
     command.__doc__ = program.summary
     return command
 
 
-def _runner(name: str) -> "Callable[[Settings, Any], Coroutine[Any, Any, None]]":
+def _import_main(name: str) -> "Callable[[Settings, Any], Coroutine[Any, Any, None]]":
     """Return a program's main coroutine; each program imports only what it needs."""
     if name == "entry":
         from stairquay.entry.app import run_entry
@@ -133,7 +133,7 @@
     outcome = load_settings(path)
     if isinstance(outcome, Err):
         for mistake in outcome.err_value:
-            env.complain(str(mistake))
+            env.write_error(str(mistake))
         return None
     return outcome.ok_value
 
@@ -143,7 +143,7 @@
         """Check a settings file, and list every mistake in it."""
         if _read_settings(settings, env) is None:
             return ExitStatus.BAD_SETTINGS
-        env.say(f"{settings}: no mistakes")
+        env.write_line(f"{settings}: no mistakes")
         return ExitStatus.SUCCESS
 
     return command
@@ -155,7 +155,7 @@
         body = _read_intents(file, env)
         if body is None:
             return ExitStatus.USAGE
-        return _ask(env, control, as_json, "POST", "/v1/intents", body)
+        return _call_and_print(env, control, as_json, "POST", "/v1/intents", body)
 
     return command
 
@@ -167,8 +167,8 @@
         """Read a plan, or confirm it."""
         path = f"/v1/plans/{plan}"
         if confirm:
-            return _ask(env, control, as_json, "POST", path + "/confirm")
-        return _ask(env, control, as_json, "GET", path)
+            return _call_and_print(env, control, as_json, "POST", path + "/confirm")
+        return _call_and_print(env, control, as_json, "GET", path)
 
     return command
 
@@ -176,10 +176,10 @@
 def _status(env: Environment) -> Callable[..., ExitStatus]:
     def command(*, control: URL = "", as_json: AS_JSON = False) -> ExitStatus:
         """Show boxes, endpoints, versions, and what is out of date."""
-        from stairquay.operators import call, finish, status_lines
+        from stairquay.operators import call_control, print_reply, status_lines
 
-        reply = asyncio.run(call(_server(env, control), "GET", "/v1/status"))
-        status = finish(env, reply, as_json, status_lines(reply.body))
+        reply = asyncio.run(call_control(_control_server(env, control), "GET", "/v1/status"))
+        status = print_reply(env, reply, as_json, status_lines(reply.body))
         out_of_date = reply.body.get("behind") or reply.body.get("silent")
         return ExitStatus.BEHIND if status == ExitStatus.SUCCESS and out_of_date else status
 
@@ -189,17 +189,17 @@
 def _boxes(env: Environment) -> Callable[..., ExitStatus]:
     def command(table: TABLE, *, metrics_port: BOXES_PORT = 7700, as_json: AS_JSON = False) -> ExitStatus:
         """Show all boxes on the users' platform: who routes, who follows, how old their views are."""
-        from stairquay.boxes import fleet_lines, look
+        from stairquay.boxes import fleet_lines, inspect_fleet
 
-        found = asyncio.run(look(table, metrics_port))
+        found = asyncio.run(inspect_fleet(table, metrics_port))
         if isinstance(found, Err):
-            env.complain(found.err_value)
+            env.write_error(found.err_value)
             return ExitStatus.UNREACHED
         fleet = found.ok_value
         lines = [msgspec.json.encode(fleet).decode()] if as_json else fleet_lines(fleet)
         for line in lines:
-            env.say(line)
-        silent = any(sight.view_age_s is None for sight in fleet.boxes)
+            env.write_line(line)
+        silent = any(box.view_age_s is None for box in fleet.boxes)
         return ExitStatus.BEHIND if silent else ExitStatus.SUCCESS
 
     return command
@@ -211,10 +211,10 @@
         key = "sq-" + secrets.token_urlsafe(KEY_BYTES)
         hashed = hashlib.sha256(key.encode()).hexdigest()
         if as_json:
-            env.say(msgspec.json.encode({"key": key, "hash": hashed}).decode())
+            env.write_line(msgspec.json.encode({"key": key, "hash": hashed}).decode())
         else:
-            env.say(f"key:  {key}")
-            env.say(f"hash: {hashed}")
+            env.write_line(f"key:  {key}")
+            env.write_line(f"hash: {hashed}")
         return ExitStatus.SUCCESS
 
     return command
@@ -223,33 +223,33 @@
 def _explain(env: Environment) -> Callable[..., ExitStatus]:
     def command(request: str, *logs: LOGS) -> ExitStatus:
         """Tell one request's story from the logs of one or more boxes."""
-        from stairquay.explain import read_logs, story
+        from stairquay.explain import explain_request, read_logs
 
-        lines = story(read_logs(logs, env.stdin), request)
+        lines = explain_request(read_logs(logs, env.stdin), request)
         if not lines:
-            env.complain(f"no line about request {request} in these logs")
+            env.write_error(f"no line about request {request} in these logs")
             return ExitStatus.ERROR
         for line in lines:
-            env.say(line)
+            env.write_line(line)
         return ExitStatus.SUCCESS
 
     return command
 
 
-def _ask(
+def _call_and_print(
     env: Environment, control: str, as_json: bool, method: str, path: str, body: bytes | None = None
 ) -> ExitStatus:
-    from stairquay.operators import call, finish, plan_lines
+    from stairquay.operators import call_control, plan_lines, print_reply
 
-    reply = asyncio.run(call(_server(env, control), method, path, body))
-    return finish(env, reply, as_json, plan_lines(reply.body))
+    reply = asyncio.run(call_control(_control_server(env, control), method, path, body))
+    return print_reply(env, reply, as_json, plan_lines(reply.body))
 
 
-def _server(env: Environment, control: str):  # type: ignore[no-untyped-def]
-    from stairquay.operators import CONTROL_VARIABLE, KEY_VARIABLE, Server
+def _control_server(env: Environment, control: str):  # type: ignore[no-untyped-def]
+    from stairquay.operators import CONTROL_VARIABLE, KEY_VARIABLE, ControlServer
 
     url = control or env.variables.get(CONTROL_VARIABLE, DEFAULT_URL)
-    return Server(url.rstrip("/"), env.variables.get(KEY_VARIABLE, ""))
+    return ControlServer(url.rstrip("/"), env.variables.get(KEY_VARIABLE, ""))
 
 
 def _read_intents(file: Path, env: Environment) -> bytes | None:
@@ -259,7 +259,7 @@
         text = env.stdin.read() if file == STANDARD_INPUT else file.read_text()
         value = json5.loads(text)
     except (OSError, ValueError) as error:
-        env.complain(f"{file}: {error}")
+        env.write_error(f"{file}: {error}")
         return None
     if isinstance(value, list):
         value = {"intents": value}
--- a/stairquay/environment.py
+++ b/stairquay/environment.py
@@ -16,10 +16,10 @@
     stderr: TextIO = field(default_factory=lambda: sys.stderr)
     variables: Mapping[str, str] = field(default_factory=lambda: dict(os.environ))
 
-    def say(self, line: str) -> None:
+    def write_line(self, line: str) -> None:
         """Write one line of result."""
         print(line, file=self.stdout)
 
-    def complain(self, line: str) -> None:
+    def write_error(self, line: str) -> None:
         """Write one line about what went wrong."""
         print(f"stairquay: {line}", file=self.stderr)
--- a/stairquay/explain.py
+++ b/stairquay/explain.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-BEFORE_S = 5.0
+LOOKBACK_S = 5.0
 """Seconds before a request's first line whose changes of belief belong to its story: the oldest view that a
 box may decide by."""
 
-AFTER_S = 1.0
+CLOCK_SKEW_S = 1.0
 """Seconds after its last line: clocks of boxes differ a little."""
 
-BELIEFS = frozenset(
+STATE_KINDS = frozenset(
     (
         "start",
         "stop",
@@ -39,8 +39,8 @@
 )
 """Kinds of lines that tell what a box believes; each may explain a decision that came after it."""
 
-LEFT_OUT = "left_out"
-HEAD_FIELDS = ("at", "box", "kind", "request")
+DROPPED_KIND = "left_out"
+HEADER_FIELDS = ("at", "box", "kind", "request")
 
 Line = dict[str, Any]
 
@@ -81,52 +81,54 @@
     return logs
 
 
-def story(logs: Logs, request: str) -> list[str]:
+def explain_request(logs: Logs, request: str) -> list[str]:
     """Return the lines of one request's story, empty where no log knows it."""
-    own = [line for line in logs.lines if line.get("request") == request]
-    if not own:
+    request_lines = [line for line in logs.lines if line.get("request") == request]
+    if not request_lines:
         return []
-    first = min(line["at"] for line in own)
-    last = max(line["at"] for line in own)
-    boxes = {line["box"] for line in own}
-    near = [line for line in logs.lines if _explains(line, boxes, first, last)]
-    told = sorted([*own, *near], key=lambda line: line["at"])
-    lines = [f"request {request}, first seen at {first:.3f} by {min(own, key=_at)['box']}"]
-    lines += [_tell(line, first) for line in told]
-    lines += _gaps(logs, boxes, first, last)
+    first = min(line["at"] for line in request_lines)
+    last = max(line["at"] for line in request_lines)
+    boxes = {line["box"] for line in request_lines}
+    state_lines = [line for line in logs.lines if _is_state_change(line, boxes, first, last)]
+    ordered = sorted([*request_lines, *state_lines], key=lambda line: line["at"])
+    lines = [f"request {request}, first seen at {first:.3f} by {min(request_lines, key=_timestamp)['box']}"]
+    lines += [_format_line(line, first) for line in ordered]
+    lines += _missing_lines(logs, boxes, first, last)
     return lines
 
 
-def _at(line: Line) -> float:
+def _timestamp(line: Line) -> float:
     return float(line["at"])
 
 
-def _explains(line: Line, boxes: set[str], first: float, last: float) -> bool:
+def _is_state_change(line: Line, boxes: set[str], first: float, last: float) -> bool:
     """Tell whether a change of belief belongs to the story of a request at these boxes."""
-    return line["kind"] in BELIEFS and _near(line, boxes, first, last)
+    return line["kind"] in STATE_KINDS and _is_in_window(line, boxes, first, last)
 
 
-def _near(line: Line, boxes: set[str], first: float, last: float) -> bool:
-    return line.get("box") in boxes and first - BEFORE_S <= line["at"] <= last + AFTER_S
+def _is_in_window(line: Line, boxes: set[str], first: float, last: float) -> bool:
+    return line.get("box") in boxes and first - LOOKBACK_S <= line["at"] <= last + CLOCK_SKEW_S
 
 
-def _tell(line: Line, first: float) -> str:
+def _format_line(line: Line, first: float) -> str:
     mark = ">" if "request" in line else " "
-    inputs = " ".join(f"{key}={_value(value)}" for key, value in line.items() if key not in HEAD_FIELDS)
+    inputs = " ".join(
+        f"{key}={_format_value(value)}" for key, value in line.items() if key not in HEADER_FIELDS
+    )
     return f"{mark} {line['at'] - first:+9.3f} s  {line['box']}  {line['kind']}  {inputs}"
 
 
-def _value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return "-" if value is None else str(value).replace(" ", "_")
 
 
-def _gaps(logs: Logs, boxes: set[str], first: float, last: float) -> list[str]:
+def _missing_lines(logs: Logs, boxes: set[str], first: float, last: float) -> list[str]:
     """Say where lines of this story may be missing."""
-    found = [
-        f"! {line['at'] - first:+9.3f} s  {line['box']}  lines were left out: {_value(line.get('lines'))}"
+    missing = [
+        f"! {line['at'] - first:+9.3f} s  {line['box']}  lines were left out: {_format_value(line.get('lines'))}"
         for line in logs.lines
-        if line["kind"] == LEFT_OUT and _near(line, boxes, first, last)
+        if line["kind"] == DROPPED_KIND and _is_in_window(line, boxes, first, last)
     ]
     if logs.unreadable:
-        found.append(f"! {logs.unreadable} lines of the logs could not be read")
-    return found
+        missing.append(f"! {logs.unreadable} lines of the logs could not be read")
+    return missing
--- a/stairquay/operators.py
+++ b/stairquay/operators.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Reply:
+class ControlReply:
     """An answer of a control; status 0 where none was reached."""
 
     status: int
@@ -26,14 +26,16 @@
 
 
 @dataclass(frozen=True)
-class Server:
+class ControlServer:
     """Where a control listens, and the operator's key."""
 
     url: str
     key: str
 
 
-async def call(server: Server, method: str, path: str, body: bytes | None = None) -> Reply:
+async def call_control(
+    server: ControlServer, method: str, path: str, body: bytes | None = None
+) -> ControlReply:
     """Call the intent API once."""
     headers = {"Authorization": f"Bearer {server.key}"}
     timeout = ClientTimeout(total=CALL_TIMEOUT_S)
@@ -42,35 +44,35 @@
             ClientSession(timeout=timeout, headers=headers) as session,
             session.request(method, server.url + path, data=body) as response,
         ):
-            return Reply(response.status, msgspec.json.decode(await response.read()))
+            return ControlReply(response.status, msgspec.json.decode(await response.read()))
     except (ClientError, asyncio.TimeoutError, msgspec.DecodeError) as error:
-        return Reply(0, {"error": {"message": f"{server.url} gave no answer: {type(error).__name__}"}})
+        return ControlReply(0, {"error": {"message": f"{server.url} gave no answer: {type(error).__name__}"}})
 
 
-def finish(env: Environment, reply: Reply, as_json: bool, show: list[str]) -> ExitStatus:
+def print_reply(env: Environment, reply: ControlReply, as_json: bool, lines: list[str]) -> ExitStatus:
     """Write an answer out, and return the exit status it means."""
     if as_json:
-        env.say(msgspec.json.format(msgspec.json.encode(reply.body), indent=2).decode())
+        env.write_line(msgspec.json.format(msgspec.json.encode(reply.body), indent=2).decode())
     if reply.status == HTTP_OK:
         if not as_json:
-            for line in show:
-                env.say(line)
+            for line in lines:
+                env.write_line(line)
         return ExitStatus.SUCCESS
     if not as_json:
-        _complain(env, reply.body.get("error", {}))
+        _print_error(env, reply.body.get("error", {}))
     if reply.status == 0:
         return ExitStatus.UNREACHED
     return ExitStatus.CONFLICT if reply.status == HTTP_CONFLICT else ExitStatus.REFUSED
 
 
-def _complain(env: Environment, error: dict[str, Any]) -> None:
-    env.complain(error.get("message", "no answer"))
+def _print_error(env: Environment, error: dict[str, Any]) -> None:
+    env.write_error(error.get("message", "no answer"))
     for mistake in error.get("mistakes", ()):
-        env.complain(f"  {mistake['path']}: {mistake['expected']}")
+        env.write_error(f"  {mistake['path']}: {mistake['expected']}")
     for row in error.get("changed", ()):
-        env.complain(f"  changed since the plan was made: {row['key']} (now revision {row['revision']})")
+        env.write_error(f"  changed since the plan was made: {row['key']} (now revision {row['revision']})")
     if error.get("changed"):
-        env.complain("  state the intents again to get a plan on what holds now")
+        env.write_error("  state the intents again to get a plan on what holds now")
 
 
 def plan_lines(body: dict[str, Any]) -> list[str]:
@@ -80,7 +82,7 @@
         return []
     lines = [f"{plan['id']}  {plan['state']}  made on revision {plan['revision']}"]
     for change in plan["changes"]:
-        lines.append(f"  {_verb(change)} {change['key']}")
+        lines.append(f"  {_change_verb(change)} {change['key']}")
         lines += [f"      {line}" for line in _differences(change)]
     for load in plan["loads"]:
         lines.append(
@@ -96,7 +98,7 @@
     return lines
 
 
-def _verb(change: dict[str, Any]) -> str:
+def _change_verb(change: dict[str, Any]) -> str:
     if change["before"] is None:
         return "create"
     return "delete" if change["after"] is None else "change"
@@ -129,6 +131,6 @@
     state = "leaving" if item["leaving"] else f"loading {item['loading']}" if item["loading"] else "serving"
     if item["age_s"] < 0 and not item["leaving"]:
         state = "not polled"
-    due = f" (wanted: {item['wanted']})" if item["wanted"] != item["version"] and item["wanted"] else ""
+    wanted = f" (wanted: {item['wanted']})" if item["wanted"] != item["version"] and item["wanted"] else ""
     version = item["version"] or "-"
-    return f"{item['id']:<16} {item['service']:<14} {version}{due} {state}, {item['running']} running"
+    return f"{item['id']:<16} {item['service']:<14} {version}{wanted} {state}, {item['running']} running"
--- a/stairquay/status.py
+++ b/stairquay/status.py
@@ -20,12 +20,12 @@
     INTERRUPTED = 130
 
 
-def ended(env: Environment, work: Callable[[], ExitStatus]) -> ExitStatus:
+def run_command(env: Environment, command: Callable[[], ExitStatus]) -> ExitStatus:
     """Run a command; return its status, also where it was interrupted or the system refused something."""
     try:
-        return work()
+        return command()
     except KeyboardInterrupt:
         return ExitStatus.INTERRUPTED
     except OSError as error:
-        env.complain(str(error))
+        env.write_error(str(error))
         return ExitStatus.ERROR
--- a/tests/test_boxes.py
+++ b/tests/test_boxes.py
@@ -5,7 +5,7 @@
 import json
 import re
 
-from stairquay.boxes import look
+from stairquay.boxes import inspect_fleet
 from stairquay.cli import main
 from stairquay.environment import Environment
 from stairquay.platform.names import OWN_TABLE
@@ -117,4 +117,4 @@
     status, out, err = run(f"127.0.0.1:{free_port()}")
     assert status == ExitStatus.UNREACHED and not out
     assert "does not answer" in err
-    assert asyncio.run(look(f"127.0.0.1:{free_port()}", 1)).is_err()
+    assert asyncio.run(inspect_fleet(f"127.0.0.1:{free_port()}", 1)).is_err()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -5,7 +5,7 @@
 
 from stairquay.cli import main
 from stairquay.environment import Environment
-from stairquay.explain import Logs, story
+from stairquay.explain import Logs, explain_request
 from stairquay.serving.event_log import MAX_LINES_PER_S, MAX_QUEUED_LINES, EventLog, LogEvent
 from stairquay.status import ExitStatus
 
@@ -107,14 +107,14 @@
 def test_a_story_has_the_requests_lines_and_what_its_box_believed_and_says_what_is_missing():
     logs = Logs()
     logs.read(LOG.splitlines())
-    told = story(logs, "r-1")
+    told = explain_request(logs, "r-1")
     assert told[0] == "request r-1, first seen at 13.000 by b1"
     assert "-3.000 s  b1  dependency" in told[1] and "view_age_s=0.8" in told[1]
     assert told[2].startswith("> ") and "e-1" in told[2]
     assert "cause=not_ready ran=not_run" in told[3]
     assert any("left out" in line for line in told) and "1 lines" in told[-1]
     assert not any("r-2" in line or "b2" in line for line in told)
-    assert story(logs, "r-9") == []
+    assert explain_request(logs, "r-9") == []
 
 
 def shell(*args: str, stdin: str = "") -> tuple[int, str, str]:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,7 +12,7 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
 
-from stairquay.explain import Logs, story
+from stairquay.explain import Logs, explain_request
 from stairquay.serving.messages import Outcome, PlaceReply
 from tests.many_boxes import placed_prompt, routed, two_boxes
 from tests.site import Answer, Site, configuration, eventually, site
@@ -267,7 +267,7 @@
             assert here.logged("limit", endpoint=plain.id, outcome="changed", per_s=30.5, before_per_s=40.0)
             assert here.logged("limit", endpoint=plain.id, outcome="ended", before_per_s=30.5)
             assert f'{{endpoint="{plain.id}"}} 30.5' not in await here.metrics()
-            told = "\n".join(story(Logs(here.log_lines), "changed"))
+            told = "\n".join(explain_request(Logs(here.log_lines), "changed"))
             assert "limit_per_s=30.5" in told and "outcome=changed per_s=30.5" in told
 
     asyncio.run(scenario())
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -3,7 +3,7 @@
 import subprocess
 import sys
 
-from stairquay.box import plain_metrics_port
+from stairquay.box import parse_plain_box_command
 
 LOAD = """
 import stairquay.box
@@ -21,7 +21,7 @@
 
 
 def test_the_usual_arguments_start_a_box_and_all_others_go_to_the_command_line():
-    assert plain_metrics_port(["box"]) == 0
-    assert plain_metrics_port(["box", "--metrics-port", "7700"]) == 7700
+    assert parse_plain_box_command(["box"]) == 0
+    assert parse_plain_box_command(["box", "--metrics-port", "7700"]) == 7700
     for args in ([], ["entry", "x"], ["box", "--help"], ["box", "FILE"], ["box", "--metrics-port", "many"]):
-        assert plain_metrics_port(args) is None
+        assert parse_plain_box_command(args) is None
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -12,7 +12,7 @@
 
 import asyncio
 
-from stairquay.explain import Logs, story
+from stairquay.explain import Logs, explain_request
 from stairquay.serving.messages import Outcome, PlaceReply
 from tests.many_boxes import placed_prompt, routed, two_boxes
 from tests.site import Answer, Site, eventually, site
@@ -279,7 +279,7 @@
             metrics = await here.metrics()
             assert f'stairquay_endpoint_leaving{{endpoint="{engine.id}"}} 1.0' in metrics
             assert f'stairquay_endpoint_rest_seconds_left{{endpoint="{asked[0]["endpoint"]}"}} ' in metrics
-            told = "\n".join(story(Logs(here.log_lines), "turned-away"))
+            told = "\n".join(explain_request(Logs(here.log_lines), "turned-away"))
             assert "rest_s=2.5" in told and "outcome=asked for_s=2.5" in told
 
     asyncio.run(scenario())
