--- a/stairquay/explain.py
+++ b/stairquay/explain.py
@@ -112,20 +112,18 @@
 
 def _format_line(line: Line, first: float) -> str:
     mark = ">" if "request" in line else " "
-    inputs = " ".join(
-        f"{key}={_format_value(value)}" for key, value in line.items() if key not in HEADER_FIELDS
-    )
+    inputs = " ".join(f"{key}={_escape(value)}" for key, value in line.items() if key not in HEADER_FIELDS)
     return f"{mark} {line['at'] - first:+9.3f} s  {line['box']}  {line['kind']}  {inputs}"
 
 
-def _format_value(value: Any) -> str:
+def _escape(value: Any) -> str:
     return "-" if value is None else str(value).replace(" ", "_")
 
 
 def _missing_lines(logs: Logs, boxes: set[str], first: float, last: float) -> list[str]:
     """Say where lines of this story may be missing."""
     missing = [
-        f"! {line['at'] - first:+9.3f} s  {line['box']}  lines were left out: {_format_value(line.get('lines'))}"
+        f"! {line['at'] - first:+9.3f} s  {line['box']}  lines were left out: {_escape(line.get('lines'))}"
         for line in logs.lines
         if line["kind"] == DROPPED_KIND and _is_in_window(line, boxes, first, last)
     ]
