--- a/stairquay/adapters/channels.py
+++ b/stairquay/adapters/channels.py
@@ -1,4 +1,4 @@
-"""Options of gRPC channels between the system's own processes."""
+"""Options of gRPC channels between the processes of stairquay."""
 
 from typing import Any
 
@@ -10,4 +10,4 @@
     ("grpc.max_receive_message_length", 64 * 1024 * 1024),
     ("grpc.enable_http_proxy", 0),
 ]
-"""No retries of its own; reconnects soon; a whole configuration may be large."""
+"""Callers retry by themselves; a configuration may exceed gRPC's default message size."""
--- a/stairquay/adapters/engine.py
+++ b/stairquay/adapters/engine.py
@@ -1,6 +1,6 @@
-"""Model engines over HTTP: state and events, fenced orders, import and export of kept context.
+"""HTTP client of model engines: state and cache events, fenced orders, import and export of KV blocks.
 
-docs/ENDPOINTS.md describes the calls. Runs themselves go through `stairquay.entry`.
+docs/ENDPOINTS.md describes the calls. Requests of callers go through `stairquay.entry`.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class EventKind(str, Enum):
-    """What happened to blocks in an engine's memory."""
+    """What happened to blocks in an engine's cache."""
 
     STORED = "stored"
     REMOVED = "removed"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """One cache event; numbers grow by one, and a missing number is a lost event."""
+    """A cache event. Numbers are consecutive; a gap means that events were lost."""
 
     number: int
     kind: EventKind
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class EngineState:
-    """An engine's report, `age_s` old when it was sent, with the cache events after a number."""
+    """An engine's report, `age_s` seconds old when sent, with the cache events after a given number."""
 
     incarnation: str
     version: str
@@ -50,16 +50,16 @@
 
 
 class OrderKind(str, Enum):
-    """Orders that engines take."""
+    """Orders that engines accept."""
 
     LOAD = "load"
 
 
 @dataclass(frozen=True)
 class Order:
-    """A fenced order. It must not be followed after `valid_until` (Unix seconds).
+    """A fenced order, not to be carried out after `valid_until` (Unix seconds).
 
-    Engines that check orders refuse a fence below the highest that they have seen.
+    Engines that check fences refuse one below the highest that they have seen.
     """
 
     kind: OrderKind
@@ -70,7 +70,7 @@
 
 
 class OrderOutcome(str, Enum):
-    """How an order was answered."""
+    """Result of sending an order; `UNKNOWN` if no answer arrived."""
 
     ACCEPTED = "accepted"
     FENCED = "fenced"
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class ImportBlock:
-    """One block to read: its identity, its place in a segment, and the checksum it must have."""
+    """A block to read: its id, its index in a segment, and its expected checksum."""
 
     id: str
     segment: str
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True)
 class ImportOrder:
-    """Blocks to read from a store box; the engine stops reading at `valid_until`."""
+    """Blocks to read from a store box; the engine stops at `valid_until` (Unix seconds)."""
 
     store: str
     version: str
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True)
 class ImportResult:
-    """How many leading blocks of the order arrived whole, and the link's queue after it."""
+    """Number of leading blocks of the order that arrived intact, and bytes moved."""
 
     blocks: int
     bytes: int = 0
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True)
 class ExportOrder:
-    """Blocks to write to a store box as one segment under a name never used before."""
+    """Blocks to write to a store box as one segment with a new, unique name."""
 
     store: str
     segment: str
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True)
 class ExportResult:
-    """The blocks that were written, first to last, with the checksum of each."""
+    """The blocks that were written, in order, with their checksums."""
 
     ids: tuple[str, ...]
     checksums: tuple[str, ...]
@@ -128,26 +128,26 @@
 async def fetch_state(
     session: ClientSession, address: str, after: int, timeout_s: float
 ) -> Result[EngineState, str]:
-    """Return an engine's state with the cache events after a number."""
+    """Return an engine's state with the cache events after number `after`."""
     return await _call(session, "GET", f"http://{address}/state?after={after}", None, EngineState, timeout_s)
 
 
 async def import_blocks(
     session: ClientSession, address: str, order: ImportOrder, timeout_s: float
 ) -> Result[ImportResult, str]:
-    """Have an engine read blocks from a store box."""
+    """Make an engine read blocks from a store box."""
     return await _call(session, "POST", f"http://{address}/kv/import", order, ImportResult, timeout_s)
 
 
 async def export_blocks(
     session: ClientSession, address: str, order: ExportOrder, timeout_s: float
 ) -> Result[ExportResult, str]:
-    """Have an engine write blocks to a store box."""
+    """Make an engine write blocks to a store box."""
     return await _call(session, "POST", f"http://{address}/kv/export", order, ExportResult, timeout_s)
 
 
 async def send_order(session: ClientSession, address: str, order: Order, timeout_s: float) -> OrderOutcome:
-    """Send an order; an answer that was lost is unknown."""
+    """Send an order; the outcome is unknown if no answer arrives."""
     try:
         async with session.post(
             f"http://{address}/orders",
--- a/stairquay/adapters/follower.py
+++ b/stairquay/adapters/follower.py
@@ -1,6 +1,6 @@
-"""Follows configuration and box list: from the platform, from peers, or from the box's own router.
+"""Keeps a process's view of configuration and box list up to date, from the platform or from routers.
 
-What is held only ever grows: rows merge by revision, and an older list is not taken.
+A view never goes back: rows merge by revision, and older box lists are ignored.
 """
 
 import asyncio
@@ -26,12 +26,12 @@
 from stairquay.core.row import Row
 
 JITTER_SHARE = 0.2
-"""Rounds are spread by this share of their period, so that boxes do not ask in step."""
+"""Width of the random spread of a poll period, as a share of it, so that boxes do not poll in step."""
 
 
 @dataclass(frozen=True)
 class Update:
-    """What one source gave: rows complete up to `revision`, and a list if it has a newer one."""
+    """The answer of one source: rows complete up to `revision`, and a box list if it has a newer one."""
 
     loaded: bool
     fresh: bool
@@ -41,7 +41,7 @@
 
 
 class View:
-    """The configuration and the boxes as one process knows them."""
+    """One process's view of the configuration and the boxes."""
 
     def __init__(self, name: str, role: str, stale_s: float) -> None:
         self.name = name
@@ -51,18 +51,18 @@
         self.freshness = Freshness(stale_s)
 
     def apply(self, update: Update) -> None:
-        """Merge what a source gave."""
+        """Merge the answer of a source."""
         before = self.configuration.revision
         self.configuration = merge(self.configuration, update.rows, update.revision)
         if self.configuration.revision != before:
-            logging.info("configuration revision %d in force", self.configuration.revision)
+            logging.info("applied configuration revision %d", self.configuration.revision)
             for key in self.configuration.unreadable_keys:
-                logging.error("row %s cannot be read and is left out", key)
+                logging.error("ignored configuration row %s: its value is invalid", key)
         if update.boxes is not None:
             self.membership.on_list(update.boxes)
 
     def routers(self) -> dict[str, str]:
-        """Return the addresses of all listed routers, leaving ones too, by box id."""
+        """Return the addresses of all listed routers by box id, also of those that are leaving."""
         boxes = self.membership.boxes.by_kind[BoxKind.STAIRQUAY]
         return {key: box.addresses["router"] for key, box in boxes.items() if "router" in box.addresses}
 
@@ -72,20 +72,20 @@
         return {key: routers[key] for key in routers if self.membership.usable(key) is not None}
 
     def ready(self) -> bool:
-        """Tell whether new requests may be taken on this view."""
+        """Return whether the view is fresh enough to accept new requests."""
         return self.freshness.ready(monotonic())
 
     def reach(self) -> Reach:
-        """Return whom this process reached of late."""
+        """Return which sources this process reached recently."""
         return self.freshness.reach(monotonic())
 
 
 RefreshRound = Callable[[View], Awaitable[None]]
-"""One round of refreshing a view; it never raises."""
+"""One round of refreshing a view; expected not to raise."""
 
 
 async def follow(view: View, one_round: RefreshRound, poll_s: float, timeout_s: float) -> None:
-    """Refresh a view for ever, logging when it turns ready or not."""
+    """Refresh a view until cancelled; log each change of its readiness."""
     was_ready = False
     while True:
         await _run_round(one_round, view, timeout_s)
@@ -97,7 +97,7 @@
 
 
 async def _run_round(one_round: RefreshRound, view: View, timeout_s: float) -> None:
-    """Run a round; one that hangs, or in which something is cancelled, must not end the following."""
+    """Run a round. A timeout or a cancellation inside the round does not end the refreshing."""
     limit = asyncio.timeout(timeout_s)
     try:
         async with limit:
@@ -105,15 +105,15 @@
     except TimeoutError:
         if not limit.expired():
             raise
-        logging.error("a round of following did not end within %.1f s, and was given up", timeout_s)
+        logging.error("view refresh timed out after %.1f s", timeout_s)
     except asyncio.CancelledError:
         if being_cancelled():
             raise
-        logging.error("a round of following was cancelled from inside")
+        logging.error("view refresh was cancelled internally")
 
 
 async def fetch_from_platform(platform: Platform, view: View) -> Result[Update, str]:
-    """Return what the platform has that the view has not."""
+    """Fetch from the platform what is newer than the view."""
     changes, boxes = await asyncio.gather(
         platform.changes(view.configuration.revision, PREFIX), platform.boxes()
     )
@@ -129,7 +129,7 @@
 async def fetch_from_router(
     channels: RouterChannels, address: str, view: View, timeout_s: float
 ) -> Result[Update, str]:
-    """Return what a router has that the view has not."""
+    """Fetch from a router what is newer than the view."""
     request = ViewRequest(
         follower=view.name,
         role=view.role,
@@ -141,10 +141,10 @@
     except grpc.aio.AioRpcError as error:
         return Err(error.code().name)
     except asyncio.CancelledError:
-        # The library also cancels a call whose channel goes; that must not end the following for good.
+        # gRPC also cancels a call when its channel closes.
         if being_cancelled():
             raise
-        logging.warning("a question to router %s was cancelled with its channel", address)
+        logging.warning("view request to router %s was cancelled: channel closed", address)
         return Err("cancelled")
     return _decode_update(reply)
 
@@ -163,7 +163,7 @@
 
 
 def platform_refresher(platform: Platform) -> Callable[[View], Awaitable[bool]]:
-    """Return a step that refreshes a view from the platform and tells whether it answered."""
+    """Return a function that refreshes a view from the platform and returns whether it answered."""
 
     async def refresh(view: View) -> bool:
         outcome = await fetch_from_platform(platform, view)
@@ -182,7 +182,10 @@
     addresses: Callable[[View], Sequence[str]],
     require_fresh: bool,
 ) -> Callable[[View], Awaitable[bool]]:
-    """Return a step that refreshes a view from several routers and tells whether any answered."""
+    """Return a function that refreshes a view from several routers and returns whether any answered.
+
+    With `require_fresh`, routers whose own view is stale do not count.
+    """
 
     async def fetch_and_apply(view: View, address: str) -> bool:
         outcome = await fetch_from_router(channels, address, view, settings.timeout_s)
--- a/stairquay/adapters/followers.py
+++ b/stairquay/adapters/followers.py
@@ -1,4 +1,4 @@
-"""How each program follows configuration and box list: the order in which it asks its sources."""
+"""Order in which each program queries the sources of its view: routers and the platform."""
 
 import random
 from collections.abc import Sequence
@@ -10,13 +10,13 @@
 from stairquay.core.freshness import peers_for_majority
 
 MAX_FALLBACK_ROUTERS = 2
-"""Other routers that are asked for a view where the box's own does not answer."""
+"""Other routers to query if the box's own router has no fresh view."""
 
 
 def router_first_round(
     settings: ViewSettings, own: str, platform: HttpPlatform, channels: RouterChannels
 ) -> RefreshRound:
-    """Return a round that asks the box's own router, then others, then the platform."""
+    """Return a round that queries the box's own router, then other routers, then the platform."""
 
     def others(view: View) -> Sequence[str]:
         addresses = sorted(set(view.routers().values()) - {own}) or list(settings.seeds)
@@ -38,7 +38,7 @@
 def platform_first_round(
     settings: ViewSettings, own: str, platform: HttpPlatform, channels: RouterChannels
 ) -> RefreshRound:
-    """Return a router's round: the platform, and all other routers where it does not answer."""
+    """Return a router's round: queries the platform, and all other routers if it does not answer."""
 
     def peers(view: View) -> Sequence[str]:
         addresses = set(view.routers().values()) or set(settings.seeds)
--- a/stairquay/adapters/metrics.py
+++ b/stairquay/adapters/metrics.py
@@ -1,9 +1,9 @@
-"""Metrics of the programs, with bounded sets of labels."""
+"""Prometheus metrics of the programs, with bounded label cardinality."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 MAX_LABELS = 1_000
-"""Workspaces and services beyond this many share the label `other`."""
+"""Distinct workspace and service labels; further ones become `other`."""
 
 OTHER_LABEL = "other"
 
@@ -12,14 +12,14 @@
 
 
 class LabelLimiter:
-    """Gives out labels up to a number of different ones."""
+    """Limits the number of distinct label values."""
 
     def __init__(self, limit: int = MAX_LABELS) -> None:
         self.limit = limit
         self.known: set[str] = set()
 
     def of(self, name: str) -> str:
-        """Return the label of a name."""
+        """Return the label for a name: the name itself, or `other` beyond the limit."""
         if name in self.known:
             return name
         if len(self.known) >= self.limit:
@@ -29,7 +29,7 @@
 
 
 class EntryMetrics:
-    """Counters and histograms of an entry, by workspace."""
+    """Metrics of the entry program."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -81,12 +81,12 @@
         )
 
     def text(self) -> bytes:
-        """Return the metrics as Prometheus reads them."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
 
 class RouterMetrics:
-    """Counters and histograms of a router."""
+    """Metrics of the router program."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -116,12 +116,12 @@
         )
 
     def text(self) -> bytes:
-        """Return the metrics as Prometheus reads them."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
 
 class ControlMetrics:
-    """Counters of a control."""
+    """Metrics of the control program."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -135,5 +135,5 @@
         )
 
     def text(self) -> bytes:
-        """Return the metrics as Prometheus reads them."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/stairquay/adapters/platform.py
+++ b/stairquay/adapters/platform.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP with JSON bodies. docs/PLATFORM.md describes the calls."""
+"""HTTP client of the platform, with JSON bodies. docs/PLATFORM.md describes the calls."""
 
 import asyncio
 from typing import TypeVar
@@ -21,7 +21,7 @@
 
 
 class HttpPlatform:
-    """Connections to the platform at one base address; every call ends within `timeout_s`."""
+    """Client of the platform at one base URL; each call ends within `timeout_s` seconds."""
 
     def __init__(self, url: str, timeout_s: float) -> None:
         self.url = url.rstrip("/")
@@ -29,26 +29,26 @@
         self.cached_boxes = BoxList()
 
     async def close(self) -> None:
-        """Free the connections."""
+        """Close the connections."""
         await self.session.close()
 
     async def get(self, key: str) -> Result[Row | None, PlatformFault]:
-        """Return a row, or None where there is none."""
+        """Return a row, or None if it does not exist."""
         reply = await self._call("GET", f"/table/rows/{quote(key, safe='')}")
         return reply.and_then(lambda response: _decode_optional(response, Row))
 
     async def changes(self, since: int, prefix: str) -> Result[Changes, PlatformFault]:
-        """Return the rows under a prefix that changed after a revision."""
+        """Return the rows with a key prefix that changed after a revision."""
         reply = await self._call("GET", f"/table/changes?since={since}&prefix={quote(prefix, safe='')}")
         return reply.and_then(lambda response: _decode(response, Changes))
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflict, PlatformFault]:
-        """Write all rows if all conditions hold."""
+        """Write all rows atomically if all conditions hold."""
         reply = await self._call("POST", "/table/commits", msgspec.json.encode(commit))
         return reply.and_then(_decode_commit)
 
     async def boxes(self) -> Result[BoxList, PlatformFault]:
-        """Return the list as the platform has it now; an unchanged one is not sent again."""
+        """Return the current box list; its ETag avoids sending an unchanged one again."""
         headers = {"If-None-Match": f'"{self.cached_boxes.as_of}"'} if self.cached_boxes.as_of else {}
         reply = await self._call("GET", "/boxes", headers=headers)
         if isinstance(reply, Ok) and reply.ok_value[0] == HTTP_NOT_MODIFIED:
@@ -61,7 +61,7 @@
     async def _call(
         self, method: str, path: str, body: bytes | None = None, headers: dict[str, str] | None = None
     ) -> Result[tuple[int, bytes], PlatformFault]:
-        """Return status and body. Only a connection that was never made counts as unreached."""
+        """Return status and body. `UNREACHED` only if no connection was made."""
         try:
             async with self.session.request(method, self.url + path, data=body, headers=headers) as response:
                 return _check_status(response.status, await response.read())
--- a/stairquay/adapters/ports.py
+++ b/stairquay/adapters/ports.py
@@ -1,4 +1,4 @@
-"""Ports to the outside: what the programs need of the platform, whatever protocol it speaks."""
+"""Interfaces to the platform, independent of its protocol."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,23 +9,23 @@
 from stairquay.core.row import Row
 
 if TYPE_CHECKING:
-    # One process a box knows boxes by their own rows.
+    # The serving process doesn't load the box list's types.
     from stairquay.core.models import BoxList
 
 
 class PlatformFault(str, Enum):
-    """Why the platform gave no answer that can be used."""
+    """Why a call to the platform failed."""
 
     UNREACHED = "unreached"
-    """The request cannot have arrived."""
+    """The request was not delivered."""
 
     UNKNOWN = "unknown"
-    """The request may have arrived and taken effect."""
+    """The request may have taken effect."""
 
 
 @dataclass(frozen=True)
 class Condition:
-    """A row must stand at this revision; 0 means that there must be no such row."""
+    """The row must be at this revision; 0 means that it must not exist."""
 
     key: str
     revision: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Write:
-    """A row to write as JSON text, or to delete where `value` is None."""
+    """A row to write as JSON text, or to delete if `value` is None."""
 
     key: str
     value: str | None
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Commit:
-    """A conditional write of several rows at once. A token takes effect once, however often sent."""
+    """An atomic, conditional write of several rows. `token` makes it idempotent."""
 
     token: str
     conditions: tuple[Condition, ...]
@@ -50,21 +50,21 @@
 
 @dataclass(frozen=True)
 class Conflict:
-    """The rows that stood at other revisions than the commit's conditions named."""
+    """The rows whose revisions did not match the commit's conditions."""
 
     rows: tuple[Row, ...]
 
 
 @dataclass(frozen=True)
 class Committed:
-    """The revision that a commit's rows were written at."""
+    """The revision at which a commit's rows were written."""
 
     revision: int
 
 
 @dataclass(frozen=True)
 class Changes:
-    """Rows under a prefix changed after a revision, complete up to `revision`."""
+    """Rows with a key prefix that changed after a given revision, complete up to `revision`."""
 
     revision: int
     rows: tuple[Row, ...]
@@ -74,24 +74,24 @@
     """The platform's transactional table service."""
 
     async def get(self, key: str) -> Result[Row | None, PlatformFault]:
-        """Return a row, or None where there is none."""
+        """Return a row, or None if it does not exist."""
 
     async def changes(self, since: int, prefix: str) -> Result[Changes, PlatformFault]:
-        """Return the rows under a prefix that changed after a revision."""
+        """Return the rows with a key prefix that changed after a revision."""
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflict, PlatformFault]:
-        """Write all rows if all conditions hold."""
+        """Write all rows atomically if all conditions hold."""
 
 
 class BoxDirectory(Protocol):
-    """The platform's lagging list of boxes."""
+    """The platform's list of boxes, which may lag behind."""
 
     async def boxes(self) -> "Result[BoxList, PlatformFault]":
-        """Return the list as the platform has it now."""
+        """Return the current list."""
 
 
 class Platform(Table, BoxDirectory, Protocol):
-    """All that the platform gives."""
+    """Table service and box directory of the platform."""
 
     async def close(self) -> None:
-        """Free the connections."""
+        """Close the connections."""
