--- a/stairquay/__init__.py
+++ b/stairquay/__init__.py
@@ -1,3 +1,3 @@
-"""stairquay: a serving system for prompts that come back after long gaps."""
+"""stairquay: a serving system for prompts whose conversations resume after long gaps."""
 
 __version__ = "0.1.0"
--- a/stairquay/__main__.py
+++ b/stairquay/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of `stairquay` and `python -m stairquay`."""
+"""Entry point of `stairquay` and `python -m stairquay`; imports the command line only if needed."""
 
 import sys
 
--- a/stairquay/adapters/program.py
+++ b/stairquay/adapters/program.py
@@ -1,4 +1,4 @@
-"""What all programs share: one loop on one thread, logs, and a stop that finishes its work."""
+"""What all programs share: background tasks, graceful stop, HTTP listeners, health checks and TLS."""
 
 import asyncio
 import signal
@@ -10,28 +10,28 @@
 from aiohttp import web
 
 if TYPE_CHECKING:
-    # One process a box has no use for these settings, nor for the parser of their comments.
+    # The serving process doesn't load the settings module and its JSON5 parser.
     from stairquay.adapters.settings import TlsSettings
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class BackgroundTasks:
-    """Background tasks of a program; one that fails ends the program with its error."""
+    """Background tasks of a program. If one fails, the program ends with its error."""
 
     def __init__(self) -> None:
         self.running: set[asyncio.Task[Any]] = set()
         self.failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def start(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run work in the background."""
+        """Start a coroutine as a background task."""
         task = asyncio.create_task(work)
         self.running.add(task)
         task.add_done_callback(self._on_done)
         return task
 
     async def cancel(self) -> None:
-        """Cancel all tasks and wait for them."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = list(self.running)
         for task in tasks:
             task.cancel()
@@ -47,7 +47,7 @@
 
 
 async def wait_for_stop(tasks: BackgroundTasks) -> None:
-    """Wait for a stop signal, or for the failure of a background task."""
+    """Wait for a stop signal; raise the error of a background task that fails."""
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
     for signal_number in STOP_SIGNALS:
@@ -57,17 +57,17 @@
     await asyncio.wait(outcomes, return_when=asyncio.FIRST_COMPLETED)
     if tasks.failed.done():
         tasks.failed.result()
-    logging.info("stopping: finishing what is under way")
+    logging.info("stopping: finishing requests in progress")
 
 
 def being_cancelled() -> bool:
-    """Tell whether the current task itself is being cancelled, not something that it waits for."""
+    """Return whether the current task itself is being cancelled, rather than something it awaits."""
     task = asyncio.current_task()
     return task is None or task.cancelling() > 0
 
 
 async def wait_until(condition: Callable[[], bool], limit_s: float, step_s: float = 0.02) -> bool:
-    """Wait until a condition holds, or return False after `limit_s`."""
+    """Poll a condition until it holds; return False after `limit_s` seconds."""
     loop = asyncio.get_running_loop()
     end = loop.time() + limit_s
     while not condition():
@@ -78,7 +78,7 @@
 
 
 async def listen(app: web.Application, address: str, **options: Any) -> web.AppRunner:
-    """Serve an application at `IP:port`."""
+    """Serve a web application at `IP:port`."""
     host, _, port = address.rpartition(":")
     site_options = {key: options.pop(key) for key in ("ssl_context", "reuse_port") if key in options}
     runner = web.AppRunner(app, access_log=None, **options)
@@ -88,7 +88,7 @@
 
 
 def health_routes(ready: Callable[[], bool]) -> list[web.RouteDef]:
-    """Return routes for the balancer."""
+    """Return the liveness and readiness routes that load balancers probe."""
 
     async def healthz(_: web.Request) -> web.Response:
         return web.Response(text="ok\n")
@@ -104,7 +104,7 @@
 async def listen_for_monitoring(
     address: str, ready: Callable[[], bool], metrics: Callable[[], bytes]
 ) -> web.AppRunner:
-    """Serve health and metrics at an address of their own, away from callers."""
+    """Serve health checks and metrics at an address separate from that for callers."""
 
     async def scrape(_: web.Request) -> web.Response:
         return web.Response(body=metrics(), headers={"Content-Type": "text/plain; version=0.0.4"})
@@ -116,7 +116,7 @@
 
 
 def server_tls_context(tls: "TlsSettings") -> ssl.SSLContext | None:
-    """Return the TLS context of a server, None where settings name no certificate."""
+    """Return a server's TLS context, or None without a certificate in the settings."""
     if not tls.certificate:
         return None
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
--- a/stairquay/adapters/rpc.py
+++ b/stairquay/adapters/rpc.py
@@ -1,4 +1,4 @@
-"""gRPC between the system's own processes: channels and servers, with mutual TLS by settings."""
+"""gRPC channels and servers between the processes of stairquay, with optional mutual TLS."""
 
 from collections.abc import Iterable
 from itertools import islice
@@ -11,18 +11,18 @@
 from stairquay.adapters.settings import TlsSettings
 
 MAX_PRECONNECTED_ROUTERS = 16
-"""Routers to which an entry keeps a connection open whether it is used or not."""
+"""Routers to connect to before their first use, to bound idle connections."""
 
 
 class RouterChannels:
-    """Open channels to routers, by address."""
+    """Pool of gRPC channels to routers, one for each address."""
 
     def __init__(self, tls: TlsSettings) -> None:
         self.tls = tls
         self.channels_by_address: dict[str, grpc.aio.Channel] = {}
 
     def stub(self, address: str) -> RouterStub:
-        """Return a stub for a router, on a channel that is kept open."""
+        """Return a stub for a router, opening its channel if there is none."""
         channel = self.channels_by_address.get(address)
         if channel is None:
             channel = self._open(address)
@@ -30,13 +30,13 @@
         return RouterStub(channel)
 
     def connect(self, addresses: Iterable[str]) -> None:
-        """Have channels connected before they are needed; beyond a number, they connect when used."""
+        """Connect up to `MAX_PRECONNECTED_ROUTERS` channels; further ones connect on first use."""
         for address in islice(addresses, MAX_PRECONNECTED_ROUTERS):
             self.stub(address)
             self.channels_by_address[address].get_state(try_to_connect=True)
 
     async def close_others(self, addresses: set[str]) -> None:
-        """Close the channels to routers that are gone."""
+        """Close the channels to all addresses other than these."""
         for address in set(self.channels_by_address) - addresses:
             await self.channels_by_address.pop(address).close()
 
@@ -56,7 +56,7 @@
 
 
 def bind(server: grpc.aio.Server, address: str, tls: TlsSettings) -> None:
-    """Bind a gRPC server to an address; with TLS settings, callers must show a certificate."""
+    """Bind a gRPC server to an address; with TLS, clients must present a certificate."""
     if not tls.certificate:
         port = server.add_insecure_port(address)
     else:
--- a/stairquay/adapters/settings.py
+++ b/stairquay/adapters/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a box: one JSON file with comments, read and checked whole before anything starts."""
+"""Settings of a box: a JSON5 file that is validated completely before a program starts."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -13,12 +13,12 @@
 from stairquay.core.routing import POLICIES
 
 ROUND_TIMEOUT_FACTOR = 2.0
-"""Times the limits of its calls, added up, that a round of following may take: longer ones hang."""
+"""Timeout of a view refresh, as a multiple of the summed timeouts of its calls."""
 
 
 @dataclass(frozen=True)
 class BoxSettings:
-    """Which box this is, and where; `id` is its name in the platform's list."""
+    """Identity of the box: `id` as in the platform's box list, and its data hall."""
 
     id: str
     data_hall: str = ""
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class PlatformSettings:
-    """Where the platform answers, and how long one call may take."""
+    """URL of the platform, and timeout of each call."""
 
     url: str
     timeout_s: float = 2.0
@@ -34,10 +34,11 @@
 
 @dataclass(frozen=True)
 class ViewSettings:
-    """How processes follow configuration and box list.
+    """How processes refresh their view of configuration and box list.
 
-    poll_s: seconds between two rounds; stale_s: seconds without platform and peers after which the
-    box takes no new requests; seeds: routers to ask before any list is known.
+    poll_s: seconds between refreshes; stale_s: seconds without an answer of platform or peers after which
+    the box accepts no new requests; timeout_s: timeout of a call; seeds: addresses of routers to query
+    before a box list is known.
     """
 
     poll_s: float = 1.0
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True)
 class TlsSettings:
-    """Paths of PEM files. With `authority`, the other side must show a certificate of its."""
+    """Paths of PEM files. With `authority`, the peer must present a certificate that it issued."""
 
     certificate: str = ""
     key: str = ""
@@ -57,9 +58,10 @@
 
 @dataclass(frozen=True)
 class EntrySettings:
-    """The entry program. `listen` is for callers, `metrics` for health and metrics.
+    """Settings of the entry program; durations in seconds, sizes in bytes.
 
-    Times are seconds, sizes bytes.
+    listen: address for callers; metrics: address for health checks and metrics; router: address of the box's
+    router.
     """
 
     listen: str
@@ -85,7 +87,7 @@
 
 @dataclass(frozen=True)
 class KeepSettings:
-    """What is kept in store boxes, and how much of a link exports may use."""
+    """Retention and eviction in store boxes, and the share of a link that exports may use."""
 
     policy: str = "expected-saving"
     eviction: str = "expected-saving"
@@ -96,7 +98,10 @@
 
 @dataclass(frozen=True)
 class RouterSettings:
-    """The router program. `listen` is gRPC; `metrics` is HTTP for metrics and health."""
+    """Settings of the router program; durations in seconds.
+
+    listen: address for gRPC; metrics: address for health checks and metrics.
+    """
 
     listen: str
     metrics: str
@@ -110,9 +115,10 @@
 
 @dataclass(frozen=True)
 class ControlSettings:
-    """The control program. `listen` is for operators, `metrics` for health and metrics.
+    """Settings of the control program; durations in seconds.
 
-    `operator_key_hashes` are SHA-256 of operators' keys, in hex.
+    listen: address for operators; metrics: address for health checks and metrics; router: address of the
+    box's router; operator_key_hashes: SHA-256 of operators' keys, in hex.
     """
 
     listen: str
@@ -131,7 +137,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """All settings of a box. A program that has no section here is not to be started."""
+    """All settings of a box. A program without a section refuses to start."""
 
     box: BoxSettings
     platform: PlatformSettings
@@ -143,13 +149,13 @@
 
     @property
     def round_timeout_s(self) -> float:
-        """Return how long a round of following may take: it asks the own router, others, and the platform."""
+        """Timeout of a view refresh, which queries the own router, other routers and the platform in turn."""
         return ROUND_TIMEOUT_FACTOR * (2 * self.view.timeout_s + self.platform.timeout_s)
 
 
 @dataclass(frozen=True)
 class FileMistake:
-    """A mistake in a settings file, for a person."""
+    """A validation error with the name of its file."""
 
     file: str
     mistake: Mistake
@@ -160,7 +166,7 @@
 
 @dataclass(frozen=True)
 class Check:
-    """A rule beyond types: the key it is about, what is expected, and the test of it."""
+    """A validation rule beyond types: the path of its key, what is expected, and the predicate."""
 
     path: str
     expected: str
@@ -237,7 +243,7 @@
 
 
 def load_settings(path: Path) -> Result[Settings, list[FileMistake]]:
-    """Return the settings in a file, or every mistake in it."""
+    """Read settings from a file; return them or all validation errors."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -251,7 +257,7 @@
 
 
 def parse_settings(value: object) -> Result[Settings, list[Mistake]]:
-    """Return settings from plain JSON types, or every mistake in them."""
+    """Decode settings from JSON types; return them or all validation errors."""
     decoded = decode(value, Settings)
     if isinstance(decoded, Err):
         return decoded
--- a/stairquay/adapters/store.py
+++ b/stairquay/adapters/store.py
@@ -1,7 +1,7 @@
-"""Store boxes over HTTP: catalogue of manifests, and the data of segments.
+"""HTTP client of store boxes: the catalogue of manifests, and the data of segments.
 
-A segment's data is written first, under a name never used before; its manifest makes it visible.
-It is freed only after its manifest is gone and the last import order for it has lapsed.
+A segment's data is written first, under a new, unique name; its manifest then makes it visible. The data is
+freed after the manifest is deleted and the last import order for the segment has expired.
 docs/ENDPOINTS.md describes the calls.
 """
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class CatalogueChange:
-    """A manifest that was written, or one that is gone (`segment` is None)."""
+    """A manifest that was written, or deleted (`segment` is None)."""
 
     name: str
     segment: Segment | None
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True)
 class Catalogue:
-    """Changes of the manifests after a number; with `whole`, all manifests that there are.
+    """Manifest changes after a given number, or a snapshot of all manifests if `whole`.
 
-    `capacity` and `used` are bytes; `data` names every segment that has data, with `whole` only.
+    capacity, used: bytes; data: names of all segments with data, only in a snapshot.
     """
 
     incarnation: str
@@ -44,7 +44,7 @@
 async def fetch_catalogue(
     session: ClientSession, address: str, incarnation: str, after: int, timeout_s: float
 ) -> Result[Catalogue, str]:
-    """Return what changed in a store box's catalogue since a number of an incarnation."""
+    """Return the changes of a store box's catalogue after number `after` of an incarnation."""
     url = f"http://{address}/catalogue?incarnation={incarnation}&after={after}"
     try:
         async with session.get(url, timeout=ClientTimeout(total=timeout_s)) as response:
@@ -59,7 +59,7 @@
 async def put_manifest(
     session: ClientSession, address: str, segment: Segment, timeout_s: float
 ) -> Result[None, str]:
-    """Make a segment visible."""
+    """Write a segment's manifest, which makes it visible."""
     url = f"http://{address}/manifests/{segment.name}"
     return await _send(session, "PUT", url, msgspec.json.encode(segment), timeout_s)
 
@@ -67,7 +67,7 @@
 async def renew_manifest(
     session: ClientSession, address: str, segment: Segment, timeout_s: float
 ) -> Result[None, str]:
-    """Write a segment's worth and time of use anew, unless its manifest is gone."""
+    """Update a segment's worth and last use, unless its manifest was deleted."""
     url = f"http://{address}/manifests/{segment.name}"
     body = msgspec.json.encode(segment)
     return await _send(session, "PUT", url, body, timeout_s, {"If-Match": "*"})
@@ -76,7 +76,7 @@
 async def delete_manifest(
     session: ClientSession, address: str, name: str, timeout_s: float
 ) -> Result[None, str]:
-    """Make a segment invisible; its data stays until it is freed."""
+    """Delete a segment's manifest; its data remains until it is freed."""
     return await _send(session, "DELETE", f"http://{address}/manifests/{name}", None, timeout_s)
 
 
--- a/stairquay/box.py
+++ b/stairquay/box.py
@@ -1,9 +1,4 @@
-"""Starts a box, apart from the command line.
-
-Hundreds of boxes start, many of them together after a loss of power, and callers wait for them. So what a box
-does not need is not loaded: the command line's library, the parser of settings with comments and the types of
-the three programs take a fifth of the processor time that a box's code takes to load.
-"""
+"""Starts a box without loading the command line, so that many boxes restart quickly after a power loss."""
 
 import gc
 import os
@@ -22,8 +17,7 @@
 
 
 def parse_plain_box_command(args: Sequence[str]) -> int | None:
-    """Return the port for metrics where the arguments start a box in the usual form; None for all others,
-    which the command line reads."""
+    """Return the metrics port, 0 if not given, of a plain `box` command; None for other arguments."""
     if list(args) == [COMMAND]:
         return 0
     if len(args) == 3 and tuple(args[:2]) == (COMMAND, METRICS_PORT_OPTION) and args[2].isdecimal():
@@ -32,7 +26,7 @@
 
 
 def start_box(path: Path | None, metrics_port: int, env: Environment) -> ExitStatus:
-    """Run a box until it is stopped, by the settings at `path` or where the platform names them."""
+    """Run a box until it is stopped, with the settings at `path` or at the path that the platform sets."""
     _reduce_import_cost()
     from stairquay.adapters.clock import run
     from stairquay.platform.boot import load_boot
@@ -60,26 +54,21 @@
 
 
 def configure_logging() -> None:
-    """Write the libraries' log lines from their level of information on."""
+    """Log the libraries' messages of level INFO and above."""
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
-    # It writes a line for every attempt's every state.
+    # It logs every state transition of every attempt.
     getLogger("transitions").setLevel(WARNING)
 
 
 def _reduce_import_cost() -> None:
-    """Prepare for loading a box's code: hundreds of boxes start, many of them together after a loss of power.
-
-    Loading makes no garbage, and looking for it takes a tenth of the processor time of a start. A box speaks
-    plain HTTP: the HTTP library would read the machine's certificate authorities all the same, for 60 ms of
-    processor time and 1.6 MB.
-    """
+    """Pause garbage collection, and skip loading certificate authorities, which plain HTTP does not use."""
     gc.disable()
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
 
 def _resume_garbage_collection() -> None:
-    """Look for garbage from now on, but not in what was loaded, which stays."""
+    """Resume garbage collection, without scanning the imported modules."""
     gc.freeze()
     gc.enable()
--- a/stairquay/boxes.py
+++ b/stairquay/boxes.py
@@ -1,6 +1,6 @@
-"""What an engineer sees of a whole fleet: which boxes there are, who routes, how old their views are.
+"""Read-only status of a whole fleet: its boxes, who routes, and how old their views are.
 
-Read from the boxes' own rows in the table service and from their metrics; nothing is kept or changed.
+Combines the boxes' rows in the table service with their metrics.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 from stairquay.serving.boxes import PREFIX, BoxHeartbeat
 
 METRICS_TIMEOUT_S = 1.0
-"""Seconds for a box's metrics: a box under load answers within a few hundred milliseconds."""
+"""Timeout of fetching one box's metrics."""
 
 MAX_CONCURRENT_SCRAPES = 32
-"""Boxes asked at once: 200 are through in about a second, with few connections open."""
+"""Boxes whose metrics are fetched concurrently."""
 
 VIEW_AGE_PATTERN = re.compile(rb"^stairquay_view_age_seconds (\S+)$", re.M)
 EVACUATED_PATTERN = re.compile(rb'^stairquay_evacuated_data_hall{data_hall="([^"]*)"} 1\.0$', re.M)
@@ -32,17 +32,17 @@
 COLD_PATTERN = re.compile(rb'^stairquay_cold_seconds_left{endpoint="([^"]*)"} (\S+)$', re.M)
 
 VIEW_AGE_BUCKETS_S = (0.5, 1.0, 2.0, 5.0)
-"""Bounds of the groups in which views are counted by age. From 2.5 s on a box is unready by default."""
+"""Upper bounds of the buckets in which views are counted by age."""
 
 
 @dataclass(frozen=True)
 class BoxStatus:
-    """One box: what its row says, and its view's age in seconds, None where it did not answer.
+    """Status of one box, from its row and its metrics.
 
-    readable: its row could be read; another release may write what this one cannot read. evacuated: data
-    halls that it sends nothing to. cold_s_by_endpoint: for how long it takes endpoints to be cold.
-    limit_by_endpoint: the limits that it knows endpoints to name, in requests a second. leaving: endpoints
-    that it knows to leave. rest_s_by_endpoint: for how long endpoints want nothing from it.
+    readable: whether this release can decode its row. view_age_s: age of its view, None if it did not answer.
+    evacuated: data halls to which it sends no requests. cold_s_by_endpoint: seconds for which it treats
+    endpoints as cold. limit_by_endpoint: rate limits of endpoints, in requests per second. leaving: endpoints
+    that are leaving. rest_s_by_endpoint: seconds of back-off left.
     """
 
     member: Member
@@ -57,8 +57,11 @@
 
 @dataclass(frozen=True)
 class FleetStatus:
-    """The whole fleet. routers: who routes for all, of the boxes that answer; following: who of them follows
-    the table service for all."""
+    """Status of the fleet.
+
+    routers: boxes that route, among those that answer; following: routers that follow the table service for
+    the others.
+    """
 
     boxes: tuple[BoxStatus, ...]
     routers: tuple[str, ...]
@@ -66,7 +69,7 @@
 
 
 async def inspect_fleet(table_address: str, metrics_port: int) -> Result[FleetStatus, str]:
-    """Read the boxes' rows and ask each box for its metrics."""
+    """Read the boxes' rows, and fetch the metrics of each box."""
     session = open_session()
     try:
         found = await OwnRows(TableClient(table_address, session)).under(PREFIX)
@@ -88,7 +91,7 @@
 
 
 def fleet_lines(fleet: FleetStatus) -> list[str]:
-    """Return what an engineer reads of a fleet."""
+    """Format the status of a fleet as lines of text."""
     halls = Counter(box.member.data_hall or "unknown" for box in fleet.boxes)
     silent = [box.member.id for box in fleet.boxes if box.view_age_s is None]
     unreadable = [box.member.id for box in fleet.boxes if not box.readable]
@@ -112,8 +115,7 @@
 
 
 def _evacuated_lines(fleet: FleetStatus) -> list[str]:
-    """Return a line for each evacuated data hall: how many boxes know, and how old the oldest view of the
-    others is."""
+    """Return a line for each evacuated data hall: how many boxes know, and the oldest view of the others."""
     lines = []
     answering = [box for box in fleet.boxes if box.view_age_s is not None]
     for hall in sorted({hall for box in answering for hall in box.evacuated}):
@@ -126,7 +128,7 @@
 
 
 def _cold_lines(fleet: FleetStatus) -> list[str]:
-    """Return a line with the cold endpoints, and for how long any box takes them to be."""
+    """Return a line with the cold endpoints, and the longest time left at any box."""
     left_s: dict[str, float] = {}
     for box in fleet.boxes:
         for endpoint, cold_s in box.cold_s_by_endpoint.items():
@@ -136,8 +138,7 @@
 
 
 def _limited_lines(fleet: FleetStatus) -> list[str]:
-    """Return a line with the limits that endpoints name, the lowest that any box knows, and how many boxes
-    know of one."""
+    """Return a line with the lowest known rate limit of each endpoint, and how many boxes know one."""
     limits: dict[str, list[float]] = {}
     for box in fleet.boxes:
         for endpoint, per_s in box.limit_by_endpoint.items():
@@ -150,14 +151,14 @@
 
 
 def _leaving_lines(fleet: FleetStatus) -> list[str]:
-    """Return a line with the endpoints that leave, and how many boxes know of each."""
+    """Return a line with the leaving endpoints, and how many boxes know of each."""
     known = Counter(endpoint for box in fleet.boxes for endpoint in box.leaving)
     summary = ", ".join(f"{endpoint}, known at {count}" for endpoint, count in sorted(known.items()))
     return [f"leaving:    {summary}"] if summary else []
 
 
 def _backoff_lines(fleet: FleetStatus) -> list[str]:
-    """Return a line with the endpoints that want rest: the longest that is left, and from how many boxes."""
+    """Return a line with the endpoints in back-off: the longest time left, and at how many boxes."""
     rests_s: dict[str, list[float]] = {}
     for box in fleet.boxes:
         for endpoint, rest_s in box.rest_s_by_endpoint.items():
@@ -209,7 +210,7 @@
 
 
 async def _fetch_metrics(name: str, session: ClientSession, metrics_port: int) -> bytes | None:
-    """Return a box's metrics, None where it does not tell them. Boxes are named `NODE@IP`."""
+    """Return a box's metrics, or None if it does not answer. Boxes are named `NODE@IP`."""
     url = f"http://{name.rpartition('@')[2]}:{metrics_port}/metrics"
     try:
         async with asyncio.timeout(METRICS_TIMEOUT_S):
--- a/stairquay/cli.py
+++ b/stairquay/cli.py
@@ -1,4 +1,4 @@
-"""The command line: programs, operators' commands, and checks of settings."""
+"""Command line: starts programs, runs operators' commands and checks settings."""
 
 import asyncio
 import hashlib
@@ -40,7 +40,7 @@
 
 
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
-    """Run one command, and return the exit status."""
+    """Run one command, and return its exit status."""
     return run_command(env, lambda: _run(args, env))
 
 
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Program:
-    """A program that runs until it is stopped; `section` is its part of the settings."""
+    """A long-running program; `section` is the name of its part of the settings."""
 
     name: str
     section: str
@@ -104,7 +104,7 @@
 
 
 def _import_main(name: str) -> "Callable[[Settings, Any], Coroutine[Any, Any, None]]":
-    """Return a program's main coroutine; each program imports only what it needs."""
+    """Import a program's main coroutine function, and only that program's modules."""
     if name == "entry":
         from stairquay.entry.app import run_entry
 
@@ -127,7 +127,7 @@
 
 
 def _read_settings(path: Path, env: Environment) -> "Settings | None":
-    # One process a box has no use for these settings, nor for the parser of their comments.
+    # Imported here: the `box` command doesn't need the settings module and its JSON5 parser.
     from stairquay.adapters.settings import load_settings
 
     outcome = load_settings(path)
--- a/stairquay/environment.py
+++ b/stairquay/environment.py
@@ -1,4 +1,4 @@
-"""What the command line has around it, in place of globals, so that tests are plain calls."""
+"""Streams and environment variables of the command line, passed in so that tests can replace them."""
 
 import os
 import sys
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class Environment:
-    """Streams and variables of one run of the program."""
+    """Streams and environment variables of one run."""
 
     stdin: TextIO = field(default_factory=lambda: sys.stdin)
     stdout: TextIO = field(default_factory=lambda: sys.stdout)
@@ -17,9 +17,9 @@
     variables: Mapping[str, str] = field(default_factory=lambda: dict(os.environ))
 
     def write_line(self, line: str) -> None:
-        """Write one line of result."""
+        """Write a line to standard output."""
         print(line, file=self.stdout)
 
     def write_error(self, line: str) -> None:
-        """Write one line about what went wrong."""
+        """Write an error line to standard error."""
         print(f"stairquay: {line}", file=self.stderr)
--- a/stairquay/explain.py
+++ b/stairquay/explain.py
@@ -1,7 +1,7 @@
-"""Tells one request's story from the logs of several boxes.
+"""Explains one request from the logs of several boxes.
 
-A line of the story gives the time since the request was first seen, the box, what was decided, the inputs of
-the decision with their ages, and what the box had come to believe shortly before.
+The explanation lists the request's log lines, with the inputs of each decision and their ages, and the state
+changes of its boxes shortly before. Times are relative to the request's first line.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,11 +12,10 @@
 import msgspec
 
 LOOKBACK_S = 5.0
-"""Seconds before a request's first line whose changes of belief belong to its story: the oldest view that a
-box may decide by."""
+"""State changes are listed from this long before a request's first line: the oldest view that a box uses."""
 
 CLOCK_SKEW_S = 1.0
-"""Seconds after its last line: clocks of boxes differ a little."""
+"""State changes are listed until this long after its last line, since clocks of boxes differ."""
 
 STATE_KINDS = frozenset(
     (
@@ -37,7 +36,7 @@
         "part_failed",
     )
 )
-"""Kinds of lines that tell what a box believes; each may explain a decision that came after it."""
+"""Kinds of lines that record a change of a box's state, which may explain later decisions."""
 
 DROPPED_KIND = "left_out"
 HEADER_FIELDS = ("at", "box", "kind", "request")
@@ -47,13 +46,13 @@
 
 @dataclass
 class Logs:
-    """Lines of several files. `unreadable` counts those that are not ours."""
+    """Log lines of several files. `unreadable` counts lines that are not log events."""
 
     lines: list[Line] = field(default_factory=list)
     unreadable: int = 0
 
     def read(self, stream: Iterable[str]) -> None:
-        """Take in the lines of one log."""
+        """Add the lines of one log."""
         for text in stream:
             start = text.find("{")
             if start < 0:
@@ -71,7 +70,7 @@
 
 
 def read_logs(files: Sequence[Path], stdin: TextIO) -> Logs:
-    """Read logs from files, or from standard input where none is named. Raises OSError."""
+    """Read logs from files, or from standard input without any. Raises OSError."""
     logs = Logs()
     if not files:
         logs.read(stdin)
@@ -82,7 +81,7 @@
 
 
 def explain_request(logs: Logs, request: str) -> list[str]:
-    """Return the lines of one request's story, empty where no log knows it."""
+    """Return the lines that explain a request; empty if no log mentions it."""
     request_lines = [line for line in logs.lines if line.get("request") == request]
     if not request_lines:
         return []
@@ -102,7 +101,7 @@
 
 
 def _is_state_change(line: Line, boxes: set[str], first: float, last: float) -> bool:
-    """Tell whether a change of belief belongs to the story of a request at these boxes."""
+    """Return whether a line is a state change of these boxes around the time of the request."""
     return line["kind"] in STATE_KINDS and _is_in_window(line, boxes, first, last)
 
 
@@ -121,7 +120,7 @@
 
 
 def _missing_lines(logs: Logs, boxes: set[str], first: float, last: float) -> list[str]:
-    """Say where lines of this story may be missing."""
+    """Return a warning for each place where log lines may be missing."""
     missing = [
         f"! {line['at'] - first:+9.3f} s  {line['box']}  lines were left out: {_escape(line.get('lines'))}"
         for line in logs.lines
--- a/stairquay/operators.py
+++ b/stairquay/operators.py
@@ -1,4 +1,4 @@
-"""The operators' client: calls of the intent API, and their answers as lines for a person."""
+"""Client of the control's intent API, and its replies formatted as text."""
 
 import asyncio
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class ControlReply:
-    """An answer of a control; status 0 where none was reached."""
+    """HTTP status and JSON body of a control's reply; status 0 if there was none."""
 
     status: int
     body: dict[str, Any]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class ControlServer:
-    """Where a control listens, and the operator's key."""
+    """URL of a control, and the operator's key."""
 
     url: str
     key: str
@@ -36,7 +36,7 @@
 async def call_control(
     server: ControlServer, method: str, path: str, body: bytes | None = None
 ) -> ControlReply:
-    """Call the intent API once."""
+    """Call the intent API, without retries."""
     headers = {"Authorization": f"Bearer {server.key}"}
     timeout = ClientTimeout(total=CALL_TIMEOUT_S)
     try:
@@ -50,7 +50,7 @@
 
 
 def print_reply(env: Environment, reply: ControlReply, as_json: bool, lines: list[str]) -> ExitStatus:
-    """Write an answer out, and return the exit status it means."""
+    """Print a reply as JSON or as lines, and return its exit status."""
     if as_json:
         env.write_line(msgspec.json.format(msgspec.json.encode(reply.body), indent=2).decode())
     if reply.status == HTTP_OK:
@@ -76,7 +76,7 @@
 
 
 def plan_lines(body: dict[str, Any]) -> list[str]:
-    """Return a plan as lines for a person."""
+    """Format a plan as lines of text."""
     plan = body.get("plan")
     if plan is None:
         return []
@@ -114,7 +114,7 @@
 
 
 def status_lines(body: dict[str, Any]) -> list[str]:
-    """Return a status as lines for a person."""
+    """Format a status as lines of text."""
     if "processes" not in body:
         return []
     lines = [f"configuration revision {body['revision']}, box list {body['list_as_of']} (by {body['reach']})"]
--- a/stairquay/status.py
+++ b/stairquay/status.py
@@ -7,7 +7,7 @@
 
 
 class ExitStatus(IntEnum):
-    """What the process tells its caller."""
+    """Exit status of the process."""
 
     SUCCESS = 0
     ERROR = 1
@@ -21,7 +21,7 @@
 
 
 def run_command(env: Environment, command: Callable[[], ExitStatus]) -> ExitStatus:
-    """Run a command; return its status, also where it was interrupted or the system refused something."""
+    """Run a command; return its exit status, also after an interrupt or an OSError."""
     try:
         return command()
     except KeyboardInterrupt:
