--- a/stairquay/adapters/channels.py
+++ b/stairquay/adapters/channels.py
@@ -10,4 +10,4 @@
     ("grpc.max_receive_message_length", 64 * 1024 * 1024),
     ("grpc.enable_http_proxy", 0),
 ]
-"""Callers retry by themselves; a configuration may exceed gRPC's default message size."""
+"""Without gRPC's own retries; a configuration may exceed its default message size."""
--- a/stairquay/adapters/rpc.py
+++ b/stairquay/adapters/rpc.py
@@ -11,7 +11,7 @@
 from stairquay.adapters.settings import TlsSettings
 
 MAX_PRECONNECTED_ROUTERS = 16
-"""Routers to connect to before their first use, to bound idle connections."""
+"""Routers whose channels are connected before their first use."""
 
 
 class RouterChannels:
