--- a/stairquay/adapters/metrics.py
+++ b/stairquay/adapters/metrics.py
@@ -1,39 +1,39 @@
-"""Metrics of the programs, with bounded sets of labels."""
+"""Prometheus metrics of the programs, with bounded label cardinality."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 MAX_LABELS = 1_000
-"""Workspaces and services beyond this many share the label `other`."""
+"""Distinct workspace and service labels; further ones become `other`."""
 
-OTHER = "other"
+OTHER_LABEL = "other"
 
 TIME_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2.5, 5, 10, 30, 60)
 TOKEN_BUCKETS = (0, 256, 1_024, 4_096, 16_384, 65_536, 262_144)
 
 
-class Labels:
-    """Gives out labels up to a number of different ones."""
+class LabelLimiter:
+    """Limits the number of distinct label values."""
 
     def __init__(self, limit: int = MAX_LABELS) -> None:
         self.limit = limit
         self.known: set[str] = set()
 
     def of(self, name: str) -> str:
-        """Return the label of a name."""
+        """Return the label for a name: the name itself, or `other` beyond the limit."""
         if name in self.known:
             return name
         if len(self.known) >= self.limit:
-            return OTHER
+            return OTHER_LABEL
         self.known.add(name)
         return name
 
 
 class EntryMetrics:
-    """Counters and histograms of an entry, by workspace."""
+    """Metrics of the entry program."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self.labels = Labels()
+        self.labels = LabelLimiter()
         by_workspace = ["workspace", "service"]
         self.requests = Counter(
             "stairquay_requests", "Requests that came in", by_workspace, registry=self.registry
@@ -81,12 +81,12 @@
         )
 
     def text(self) -> bytes:
-        """Return the metrics as Prometheus reads them."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
 
 class RouterMetrics:
-    """Counters and histograms of a router."""
+    """Metrics of the router program."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -116,12 +116,12 @@
         )
 
     def text(self) -> bytes:
-        """Return the metrics as Prometheus reads them."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
 
 class ControlMetrics:
-    """Counters of a control."""
+    """Metrics of the control program."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -135,5 +135,5 @@
         )
 
     def text(self) -> bytes:
-        """Return the metrics as Prometheus reads them."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/stairquay/explain.py
+++ b/stairquay/explain.py
@@ -1,7 +1,7 @@
-"""Tells one request's story from the logs of several boxes.
+"""Explains one request from the logs of several boxes.
 
-A line of the story gives the time since the request was first seen, the box, what was decided, the inputs of
-the decision with their ages, and what the box had come to believe shortly before.
+The explanation lists the request's log lines, with the inputs of each decision and their ages, and the state
+changes of its boxes shortly before. Times are relative to the request's first line.
 """
 
 from collections.abc import Iterable, Sequence
@@ -11,14 +11,13 @@
 
 import msgspec
 
-BEFORE_S = 5.0
-"""Seconds before a request's first line whose changes of belief belong to its story: the oldest view that a
-box may decide by."""
+LOOKBACK_S = 5.0
+"""State changes are listed from this long before a request's first line: the oldest view that a box uses."""
 
-AFTER_S = 1.0
-"""Seconds after its last line: clocks of boxes differ a little."""
+CLOCK_SKEW_S = 1.0
+"""State changes are listed until this long after its last line, since clocks of boxes differ."""
 
-BELIEFS = frozenset(
+STATE_KINDS = frozenset(
     (
         "start",
         "stop",
@@ -37,23 +36,23 @@
         "part_failed",
     )
 )
-"""Kinds of lines that tell what a box believes; each may explain a decision that came after it."""
+"""Kinds of lines that record a change of a box's state, which may explain later decisions."""
 
-LEFT_OUT = "left_out"
-HEAD_FIELDS = ("at", "box", "kind", "request")
+DROPPED_KIND = "left_out"
+HEADER_FIELDS = ("at", "box", "kind", "request")
 
 Line = dict[str, Any]
 
 
 @dataclass
 class Logs:
-    """Lines of several files. `unreadable` counts those that are not ours."""
+    """Log lines of several files. `unreadable` counts lines that are not log events."""
 
     lines: list[Line] = field(default_factory=list)
     unreadable: int = 0
 
     def read(self, stream: Iterable[str]) -> None:
-        """Take in the lines of one log."""
+        """Add the lines of one log."""
         for text in stream:
             start = text.find("{")
             if start < 0:
@@ -71,7 +70,7 @@
 
 
 def read_logs(files: Sequence[Path], stdin: TextIO) -> Logs:
-    """Read logs from files, or from standard input where none is named. Raises OSError."""
+    """Read logs from files, or from standard input without any. Raises OSError."""
     logs = Logs()
     if not files:
         logs.read(stdin)
@@ -81,52 +80,52 @@
     return logs
 
 
-def story(logs: Logs, request: str) -> list[str]:
-    """Return the lines of one request's story, empty where no log knows it."""
-    own = [line for line in logs.lines if line.get("request") == request]
-    if not own:
+def explain_request(logs: Logs, request: str) -> list[str]:
+    """Return the lines that explain a request; empty if no log mentions it."""
+    request_lines = [line for line in logs.lines if line.get("request") == request]
+    if not request_lines:
         return []
-    first = min(line["at"] for line in own)
-    last = max(line["at"] for line in own)
-    boxes = {line["box"] for line in own}
-    near = [line for line in logs.lines if _explains(line, boxes, first, last)]
-    told = sorted([*own, *near], key=lambda line: line["at"])
-    lines = [f"request {request}, first seen at {first:.3f} by {min(own, key=_at)['box']}"]
-    lines += [_tell(line, first) for line in told]
-    lines += _gaps(logs, boxes, first, last)
+    first = min(line["at"] for line in request_lines)
+    last = max(line["at"] for line in request_lines)
+    boxes = {line["box"] for line in request_lines}
+    state_lines = [line for line in logs.lines if _is_state_change(line, boxes, first, last)]
+    ordered = sorted([*request_lines, *state_lines], key=lambda line: line["at"])
+    lines = [f"request {request}, first seen at {first:.3f} by {min(request_lines, key=_timestamp)['box']}"]
+    lines += [_format_line(line, first) for line in ordered]
+    lines += _missing_lines(logs, boxes, first, last)
     return lines
 
 
-def _at(line: Line) -> float:
+def _timestamp(line: Line) -> float:
     return float(line["at"])
 
 
-def _explains(line: Line, boxes: set[str], first: float, last: float) -> bool:
-    """Tell whether a change of belief belongs to the story of a request at these boxes."""
-    return line["kind"] in BELIEFS and _near(line, boxes, first, last)
+def _is_state_change(line: Line, boxes: set[str], first: float, last: float) -> bool:
+    """Return whether a line is a state change of these boxes around the time of the request."""
+    return line["kind"] in STATE_KINDS and _is_in_window(line, boxes, first, last)
 
 
-def _near(line: Line, boxes: set[str], first: float, last: float) -> bool:
-    return line.get("box") in boxes and first - BEFORE_S <= line["at"] <= last + AFTER_S
+def _is_in_window(line: Line, boxes: set[str], first: float, last: float) -> bool:
+    return line.get("box") in boxes and first - LOOKBACK_S <= line["at"] <= last + CLOCK_SKEW_S
 
 
-def _tell(line: Line, first: float) -> str:
+def _format_line(line: Line, first: float) -> str:
     mark = ">" if "request" in line else " "
-    inputs = " ".join(f"{key}={_value(value)}" for key, value in line.items() if key not in HEAD_FIELDS)
+    inputs = " ".join(f"{key}={_escape(value)}" for key, value in line.items() if key not in HEADER_FIELDS)
     return f"{mark} {line['at'] - first:+9.3f} s  {line['box']}  {line['kind']}  {inputs}"
 
 
-def _value(value: Any) -> str:
+def _escape(value: Any) -> str:
     return "-" if value is None else str(value).replace(" ", "_")
 
 
-def _gaps(logs: Logs, boxes: set[str], first: float, last: float) -> list[str]:
-    """Say where lines of this story may be missing."""
-    found = [
-        f"! {line['at'] - first:+9.3f} s  {line['box']}  lines were left out: {_value(line.get('lines'))}"
+def _missing_lines(logs: Logs, boxes: set[str], first: float, last: float) -> list[str]:
+    """Return a warning for each place where log lines may be missing."""
+    missing = [
+        f"! {line['at'] - first:+9.3f} s  {line['box']}  lines were left out: {_escape(line.get('lines'))}"
         for line in logs.lines
-        if line["kind"] == LEFT_OUT and _near(line, boxes, first, last)
+        if line["kind"] == DROPPED_KIND and _is_in_window(line, boxes, first, last)
     ]
     if logs.unreadable:
-        found.append(f"! {logs.unreadable} lines of the logs could not be read")
-    return found
+        missing.append(f"! {logs.unreadable} lines of the logs could not be read")
+    return missing
--- a/stairquay/operators.py
+++ b/stairquay/operators.py
@@ -1,4 +1,4 @@
-"""The operators' client: calls of the intent API, and their answers as lines for a person."""
+"""Client of the control's intent API, and its replies formatted as text."""
 
 import asyncio
 from dataclasses import dataclass
@@ -18,23 +18,25 @@
 
 
 @dataclass(frozen=True)
-class Reply:
-    """An answer of a control; status 0 where none was reached."""
+class ControlReply:
+    """HTTP status and JSON body of a control's reply; status 0 if there was none."""
 
     status: int
     body: dict[str, Any]
 
 
 @dataclass(frozen=True)
-class Server:
-    """Where a control listens, and the operator's key."""
+class ControlServer:
+    """URL of a control, and the operator's key."""
 
     url: str
     key: str
 
 
-async def call(server: Server, method: str, path: str, body: bytes | None = None) -> Reply:
-    """Call the intent API once."""
+async def call_control(
+    server: ControlServer, method: str, path: str, body: bytes | None = None
+) -> ControlReply:
+    """Call the intent API, without retries."""
     headers = {"Authorization": f"Bearer {server.key}"}
     timeout = ClientTimeout(total=CALL_TIMEOUT_S)
     try:
@@ -42,45 +44,45 @@
             ClientSession(timeout=timeout, headers=headers) as session,
             session.request(method, server.url + path, data=body) as response,
         ):
-            return Reply(response.status, msgspec.json.decode(await response.read()))
+            return ControlReply(response.status, msgspec.json.decode(await response.read()))
     except (ClientError, asyncio.TimeoutError, msgspec.DecodeError) as error:
-        return Reply(0, {"error": {"message": f"{server.url} gave no answer: {type(error).__name__}"}})
+        return ControlReply(0, {"error": {"message": f"{server.url} gave no answer: {type(error).__name__}"}})
 
 
-def finish(env: Environment, reply: Reply, as_json: bool, show: list[str]) -> ExitStatus:
-    """Write an answer out, and return the exit status it means."""
+def print_reply(env: Environment, reply: ControlReply, as_json: bool, lines: list[str]) -> ExitStatus:
+    """Print a reply as JSON or as lines, and return its exit status."""
     if as_json:
-        env.say(msgspec.json.format(msgspec.json.encode(reply.body), indent=2).decode())
+        env.write_line(msgspec.json.format(msgspec.json.encode(reply.body), indent=2).decode())
     if reply.status == HTTP_OK:
         if not as_json:
-            for line in show:
-                env.say(line)
+            for line in lines:
+                env.write_line(line)
         return ExitStatus.SUCCESS
     if not as_json:
-        _complain(env, reply.body.get("error", {}))
+        _print_error(env, reply.body.get("error", {}))
     if reply.status == 0:
         return ExitStatus.UNREACHED
     return ExitStatus.CONFLICT if reply.status == HTTP_CONFLICT else ExitStatus.REFUSED
 
 
-def _complain(env: Environment, error: dict[str, Any]) -> None:
-    env.complain(error.get("message", "no answer"))
+def _print_error(env: Environment, error: dict[str, Any]) -> None:
+    env.write_error(error.get("message", "no answer"))
     for mistake in error.get("mistakes", ()):
-        env.complain(f"  {mistake['path']}: {mistake['expected']}")
+        env.write_error(f"  {mistake['path']}: {mistake['expected']}")
     for row in error.get("changed", ()):
-        env.complain(f"  changed since the plan was made: {row['key']} (now revision {row['revision']})")
+        env.write_error(f"  changed since the plan was made: {row['key']} (now revision {row['revision']})")
     if error.get("changed"):
-        env.complain("  state the intents again to get a plan on what holds now")
+        env.write_error("  state the intents again to get a plan on what holds now")
 
 
 def plan_lines(body: dict[str, Any]) -> list[str]:
-    """Return a plan as lines for a person."""
+    """Format a plan as lines of text."""
     plan = body.get("plan")
     if plan is None:
         return []
     lines = [f"{plan['id']}  {plan['state']}  made on revision {plan['revision']}"]
     for change in plan["changes"]:
-        lines.append(f"  {_verb(change)} {change['key']}")
+        lines.append(f"  {_change_verb(change)} {change['key']}")
         lines += [f"      {line}" for line in _differences(change)]
     for load in plan["loads"]:
         lines.append(
@@ -96,7 +98,7 @@
     return lines
 
 
-def _verb(change: dict[str, Any]) -> str:
+def _change_verb(change: dict[str, Any]) -> str:
     if change["before"] is None:
         return "create"
     return "delete" if change["after"] is None else "change"
@@ -112,7 +114,7 @@
 
 
 def status_lines(body: dict[str, Any]) -> list[str]:
-    """Return a status as lines for a person."""
+    """Format a status as lines of text."""
     if "processes" not in body:
         return []
     lines = [f"configuration revision {body['revision']}, box list {body['list_as_of']} (by {body['reach']})"]
@@ -129,6 +131,6 @@
     state = "leaving" if item["leaving"] else f"loading {item['loading']}" if item["loading"] else "serving"
     if item["age_s"] < 0 and not item["leaving"]:
         state = "not polled"
-    due = f" (wanted: {item['wanted']})" if item["wanted"] != item["version"] and item["wanted"] else ""
+    wanted = f" (wanted: {item['wanted']})" if item["wanted"] != item["version"] and item["wanted"] else ""
     version = item["version"] or "-"
-    return f"{item['id']:<16} {item['service']:<14} {version}{due} {state}, {item['running']} running"
+    return f"{item['id']:<16} {item['service']:<14} {version}{wanted} {state}, {item['running']} running"
--- a/stairquay/status.py
+++ b/stairquay/status.py
@@ -7,7 +7,7 @@
 
 
 class ExitStatus(IntEnum):
-    """What the process tells its caller."""
+    """Exit status of the process."""
 
     SUCCESS = 0
     ERROR = 1
@@ -20,12 +20,12 @@
     INTERRUPTED = 130
 
 
-def ended(env: Environment, work: Callable[[], ExitStatus]) -> ExitStatus:
-    """Run a command; return its status, also where it was interrupted or the system refused something."""
+def run_command(env: Environment, command: Callable[[], ExitStatus]) -> ExitStatus:
+    """Run a command; return its exit status, also after an interrupt or an OSError."""
     try:
-        return work()
+        return command()
     except KeyboardInterrupt:
         return ExitStatus.INTERRUPTED
     except OSError as error:
-        env.complain(str(error))
+        env.write_error(str(error))
         return ExitStatus.ERROR
