--- a/stairquay/box.py
+++ b/stairquay/box.py
@@ -35,14 +35,14 @@
     """Run a box until it is stopped, by the settings at `path` or where the platform names them."""
     _load_lightly()
     from stairquay.adapters.clock import run
-    from stairquay.platform.boot import load_boot
+    from stairquay.platform.boot import load_boot_settings
     from stairquay.platform.names import SETTINGS_VARIABLE
     from stairquay.platform.surroundings import open_surroundings
     from stairquay.serving.app import run_box
 
     _loaded()
     settings_path = path or Path(env.variables.get(SETTINGS_VARIABLE, ""))
-    boot = load_boot(settings_path, metrics_port)
+    boot = load_boot_settings(settings_path, metrics_port)
     if isinstance(boot, Err):
         for mistake in boot.err_value:
             env.complain(f"{settings_path}: {mistake}")
@@ -52,7 +52,7 @@
     run(
         run_box(
             boot.ok_value.settings,
-            lambda: load_boot(settings_path, metrics_port).map(lambda again: again.settings),
+            lambda: load_boot_settings(settings_path, metrics_port).map(lambda again: again.settings),
             lambda: open_surroundings(table_address),
         )
     )
--- a/stairquay/platform/boot.py
+++ b/stairquay/platform/boot.py
@@ -12,88 +12,88 @@
 from stairquay.core.mistake import Mistake
 from stairquay.serving.settings import BoxSettings, FreshnessSettings, LeaseSettings
 
-KEYED_SHARE = 0.92
+KEYED_STALENESS_SHARE = 0.92
 """Share of the bound on revoked keys after which keyed requests are refused; the rest covers the way
 from the check to the endpoint."""
 
-READY_SHARE = 0.5
+READY_STALENESS_SHARE = 0.5
 """Share of that bound after which the box reports unready: requests are not owed from 0.6 of it on."""
 
 HANDOVER_SLACK_S = 0.3
 """Added to the pause between two holders of the lease, for orders on their way."""
 
-DEFAULT_DESCRIPTORS = 1024
+DEFAULT_MAX_DESCRIPTORS = 1024
 
 
 @dataclass(frozen=True)
-class Boot:
+class BootSettings:
     """What a box needs to start: its settings, and the address of the table service."""
 
     settings: BoxSettings
     table_address: str
 
 
-def load_boot(path: Path, metrics_port: int) -> Result[Boot, list[Mistake]]:
+def load_boot_settings(path: Path, metrics_port: int) -> Result[BootSettings, list[Mistake]]:
     """Return the settings in the platform's file, or every mistake in it."""
     try:
-        given = tomllib.loads(path.read_text())
+        tables = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         return Err([Mistake("$", f"cannot be read: {error}")])
-    return parse_boot(given, metrics_port)
+    return parse_boot_settings(tables, metrics_port)
 
 
-def parse_boot(given: Mapping[str, Any], metrics_port: int) -> Result[Boot, list[Mistake]]:
+def parse_boot_settings(tables: Mapping[str, Any], metrics_port: int) -> Result[BootSettings, list[Mistake]]:
     """Return settings from the file's tables; fields that are not known are passed over."""
-    fields = _Fields(given)
-    ip = fields.text("ip")
+    reader = _FieldReader(tables)
+    ip = reader.text("ip")
     settings = BoxSettings(
-        id=f"{fields.text('node_name')}@{ip}",
+        id=f"{reader.text('node_name')}@{ip}",
         ip=ip,
-        data_hall=fields.text("zone"),
-        front=fields.address("listen.front"),
-        readiness=fields.address("listen.readiness"),
+        data_hall=reader.text("zone"),
+        front=reader.address("listen.front"),
+        readiness=reader.address("listen.readiness"),
         metrics_port=metrics_port,
-        peer_address=fields.peer_address(ip),
-        cores=fields.number("limits.cpu_share", 1.0) * fields.number("limits.cpu_cores", 1.0),
-        link_mbps=fields.number("limits.link_mbps", 1_000.0),
-        stop_s=fields.number("bounds.grace_s", 8.0),
-        drain_s=fields.number("bounds.drain_ms", 2_000.0) / 1000,
-        apply_s=fields.number("bounds.config_apply_ms", 2_000.0) / 1000,
-        evacuate_s=fields.number("bounds.evacuate_ms", 5_000.0) / 1000,
-        versions_within_s=fields.number("bounds.version_ms", 12_000.0) / 1000,
-        memory_mb=int(fields.number("limits.memory_mb", 0)),
-        max_descriptors=int(fields.number("limits.max_fds", DEFAULT_DESCRIPTORS)),
-        freshness=_freshness(fields),
-        lease=LeaseSettings(handover_s=fields.number("bounds.lease_ms", 3_000.0) / 1000 + HANDOVER_SLACK_S),
+        peer_address=reader.peer_address(ip),
+        cores=reader.number("limits.cpu_share", 1.0) * reader.number("limits.cpu_cores", 1.0),
+        link_mbps=reader.number("limits.link_mbps", 1_000.0),
+        stop_s=reader.number("bounds.grace_s", 8.0),
+        drain_s=reader.number("bounds.drain_ms", 2_000.0) / 1000,
+        apply_s=reader.number("bounds.config_apply_ms", 2_000.0) / 1000,
+        evacuate_s=reader.number("bounds.evacuate_ms", 5_000.0) / 1000,
+        versions_within_s=reader.number("bounds.version_ms", 12_000.0) / 1000,
+        memory_mb=int(reader.number("limits.memory_mb", 0)),
+        max_descriptors=int(reader.number("limits.max_fds", DEFAULT_MAX_DESCRIPTORS)),
+        freshness=_freshness(reader),
+        lease=LeaseSettings(handover_s=reader.number("bounds.lease_ms", 3_000.0) / 1000 + HANDOVER_SLACK_S),
         repeats=RetryAllowance(
-            ratio=fields.number("bounds.retry_budget_ratio", 0.1),
-            slack=fields.number("bounds.budget_slack", 10.0),
-            window_s=fields.number("bounds.budget_window_s", 10.0),
+            ratio=reader.number("bounds.retry_budget_ratio", 0.1),
+            slack=reader.number("bounds.budget_slack", 10.0),
+            window_s=reader.number("bounds.budget_window_s", 10.0),
         ),
     )
-    table_address = fields.address("platform.address")
-    if fields.mistakes:
-        return Err(fields.mistakes)
-    return Ok(Boot(settings, table_address))
+    table_address = reader.address("platform.address")
+    if reader.mistakes:
+        return Err(reader.mistakes)
+    return Ok(BootSettings(settings, table_address))
 
 
-def _freshness(fields: "_Fields") -> FreshnessSettings:
-    bound_s = fields.number("bounds.revoke_ms", 5_000.0) / 1000
-    ready_s = bound_s * READY_SHARE
-    if not fields.flag("bounds.strict_revoke", True):
+def _freshness(reader: "_FieldReader") -> FreshnessSettings:
+    bound_s = reader.number("bounds.revoke_ms", 5_000.0) / 1000
+    ready_s = bound_s * READY_STALENESS_SHARE
+    if not reader.flag("bounds.strict_revoke", True):
         return FreshnessSettings(keyed_s=float("inf"), ready_s=ready_s)
-    return FreshnessSettings(keyed_s=bound_s * KEYED_SHARE, ready_s=ready_s)
+    return FreshnessSettings(keyed_s=bound_s * KEYED_STALENESS_SHARE, ready_s=ready_s)
 
 
 def _is_port(value: Any) -> bool:
     return isinstance(value, int) and not isinstance(value, bool) and 0 < value < 65_536
 
 
-class _Fields:
+class _FieldReader:
     """Reads fields by dotted path, and gathers what is wrong with them."""
 
-    def __init__(self, given: Mapping[str, Any]) -> None:
-        self.given = given
+    def __init__(self, tables: Mapping[str, Any]) -> None:
+        self.tables = tables
         self.mistakes: list[Mistake] = []
 
     def text(self, path: str) -> str:
@@ -140,7 +140,7 @@
         return default
 
     def _find(self, path: str) -> Any:
-        value: Any = self.given
+        value: Any = self.tables
         for name in path.split("."):
             if not isinstance(value, Mapping):
                 return None
