--- a/stairquay/platform/callers.py
+++ b/stairquay/platform/callers.py
@@ -10,18 +10,18 @@
 from stairquay.platform.names import (
     AUTHORIZATION,
     BEARER,
-    CHANNEL_ONLY,
-    LAST_EVENT,
+    HOP_BY_HOP_HEADERS,
+    LAST_EVENT_ID,
     MODEL,
-    OURS,
     PARTS,
     REQUEST_ID,
+    RESERVED_HEADERS,
     RETRY_AFTER,
     TIME_LEFT,
     TOKENS,
 )
 
-MAX_ID = 200
+MAX_ID_CHARS = 200
 """Longest id of a request or part, in characters; the platform's own have 8 to 16."""
 
 MAX_PARTS = 64
@@ -31,33 +31,33 @@
 """Largest count of tokens that is read."""
 
 
-class CallerDialect:
+class PlatformCallerCodec:
     """Decodes requests and writes refusals."""
 
     def decode(self, request: web.Request) -> Result[Call, Refusal]:
         """Return the request in our own types, or why it is malformed."""
         headers = request.headers
         call_id = headers.get(REQUEST_ID, "")
-        if not call_id or len(call_id) > MAX_ID:
+        if not call_id or len(call_id) > MAX_ID_CHARS:
             return _malformed(f"{REQUEST_ID} is missing or too long")
-        time_left_s = _seconds(headers.get(TIME_LEFT))
+        time_left_s = _parse_time_left(headers.get(TIME_LEFT))
         if isinstance(time_left_s, Err):
             return time_left_s
-        prompt = _prompt(headers.get(MODEL), headers.get(TOKENS), headers.get(PARTS))
+        prompt = _parse_prompt(headers.get(MODEL), headers.get(TOKENS), headers.get(PARTS))
         if isinstance(prompt, Err):
             return prompt
         return Ok(
             Call(
                 id=call_id,
                 method=request.method,
-                host=_host(headers.get("Host", "")),
+                host=_normalize_host(headers.get("Host", "")),
                 path=request.raw_path.partition("?")[0],
                 target=request.raw_path,
-                headers=_passed_on(request),
-                key=_key(headers.get(AUTHORIZATION)),
+                headers=_forwarded_headers(request),
+                key=_parse_bearer_key(headers.get(AUTHORIZATION)),
                 time_left_s=time_left_s.ok_value,
                 prompt=prompt.ok_value,
-                resume_after=headers.get(LAST_EVENT),
+                resume_after=headers.get(LAST_EVENT_ID),
             )
         )
 
@@ -75,17 +75,17 @@
     return Err(Refusal(ErrorKind.BAD_REQUEST, detail=detail))
 
 
-def _host(value: str) -> str:
+def _normalize_host(value: str) -> str:
     return value.rpartition(":")[0].lower() if value.rpartition(":")[2].isdigit() else value.lower()
 
 
-def _key(value: str | None) -> str | None:
+def _parse_bearer_key(value: str | None) -> str | None:
     if value is None or not value.startswith(BEARER):
         return None
     return value[len(BEARER) :].strip()
 
 
-def _seconds(value: str | None) -> Result[float | None, Refusal]:
+def _parse_time_left(value: str | None) -> Result[float | None, Refusal]:
     if value is None:
         return Ok(None)
     if not value.isascii() or not value.isdecimal() or len(value) > 12:
@@ -93,39 +93,45 @@
     return Ok(int(value) / 1000)
 
 
-def _prompt(model: str | None, tokens: str | None, parts: str | None) -> Result[PromptShape | None, Refusal]:
+def _parse_prompt(
+    model: str | None, tokens: str | None, parts: str | None
+) -> Result[PromptShape | None, Refusal]:
     """Return the prompt's shape, None where the request has no prompt."""
     if model is None or tokens is None or parts is None:
         return Ok(None)
-    counts = [_count(item) for item in tokens.split(",")]
+    counts = [_parse_token_count(item) for item in tokens.split(",")]
     if len(counts) != 2 or counts[0] is None or counts[1] is None:
         return _malformed(f"{TOKENS} is not two whole numbers")
-    chain = [_part(item) for item in parts.split(",")]
-    if len(chain) > MAX_PARTS:
+    parsed = [_parse_part(item) for item in parts.split(",")]
+    if len(parsed) > MAX_PARTS:
         return _malformed(f"{PARTS} has more than {MAX_PARTS} parts")
-    known = tuple(part for part in chain if part is not None)
-    if len(known) != len(chain):
+    valid_parts = tuple(part for part in parsed if part is not None)
+    if len(valid_parts) != len(parsed):
         return _malformed(f"{PARTS} is not a list of ID:TOKENS")
-    return Ok(PromptShape(model, known, counts[0], counts[1]))
+    return Ok(PromptShape(model, valid_parts, counts[0], counts[1]))
 
 
-def _part(text: str) -> Part | None:
+def _parse_part(text: str) -> Part | None:
     part_id, _, count = text.strip().partition(":")
-    tokens = _count(count)
-    if not part_id or len(part_id) > MAX_ID or tokens is None:
+    tokens = _parse_token_count(count)
+    if not part_id or len(part_id) > MAX_ID_CHARS or tokens is None:
         return None
     return Part(part_id, tokens)
 
 
-def _count(text: str) -> int | None:
+def _parse_token_count(text: str) -> int | None:
     value = text.strip()
     if not value.isascii() or not value.isdecimal() or len(value) > 9:
         return None
     return int(value) if int(value) <= MAX_TOKENS else None
 
 
-def _passed_on(request: web.Request) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(request: web.Request) -> tuple[tuple[str, str], ...]:
     """Return the headers that go on: no others than the caller's own, and none for one connection only."""
-    named = {item.strip().lower() for item in request.headers.get("Connection", "").split(",")}
-    dropped = CHANNEL_ONLY | OURS | named - {REQUEST_ID.lower(), MODEL.lower(), TOKENS.lower(), PARTS.lower()}
+    connection_options = {item.strip().lower() for item in request.headers.get("Connection", "").split(",")}
+    dropped = (
+        HOP_BY_HOP_HEADERS
+        | RESERVED_HEADERS
+        | connection_options - {REQUEST_ID.lower(), MODEL.lower(), TOKENS.lower(), PARTS.lower()}
+    )
     return tuple((name, value) for name, value in request.headers.items() if name.lower() not in dropped)
--- a/stairquay/platform/endpoints.py
+++ b/stairquay/platform/endpoints.py
@@ -13,13 +13,13 @@
 from stairquay.core.errors import ErrorKind, ExecutionStatus
 from stairquay.platform.connections import SENDING, CheckedProtocol, Sending, SendRefused
 from stairquay.platform.names import (
-    CHANNEL_ONLY,
     EXPECT_VERSION,
     FETCH,
     FETCH_UNTIL,
+    HOP_BY_HOP_HEADERS,
     INSTANCE,
     KEEP_ALIVE,
-    LAST_EVENT,
+    LAST_EVENT_ID,
     NOT_RUN,
     PRIORITY,
     REQUEST_ID,
@@ -109,7 +109,7 @@
     if any(dispatch.save_to):
         headers[SAVE] = _addresses(dispatch.save_to)
     if dispatch.resume_after is not None:
-        headers[LAST_EVENT] = dispatch.resume_after
+        headers[LAST_EVENT_ID] = dispatch.resume_after
     return headers
 
 
@@ -161,7 +161,7 @@
 
 def _passed_back(response: ClientResponse) -> tuple[tuple[str, str], ...]:
     named = {item.strip().lower() for item in response.headers.get("Connection", "").split(",")}
-    dropped = (CHANNEL_ONLY | named) - {SIGNATURE.lower(), REQUEST_ID.lower()}
+    dropped = (HOP_BY_HOP_HEADERS | named) - {SIGNATURE.lower(), REQUEST_ID.lower()}
     return tuple((name, value) for name, value in response.headers.items() if name.lower() not in dropped)
 
 
--- a/stairquay/platform/names.py
+++ b/stairquay/platform/names.py
@@ -29,7 +29,7 @@
 """Seconds after which to come back: to a caller that we refuse, and to us where an endpoint refuses."""
 
 DATE = "Date"
-LAST_EVENT = "Last-Event-Id"
+LAST_EVENT_ID = "Last-Event-Id"
 MODEL = "Model"
 TOKENS = "Token-Usage"
 """Tokens of the prompt and most tokens of the answer, with a comma between."""
@@ -48,7 +48,7 @@
 SAVE = "Kv-Save"
 WAIT = "Wait-Ms"
 
-OURS = frozenset(
+RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         TIME_LEFT,
@@ -61,7 +61,7 @@
         FETCH,
         FETCH_UNTIL,
         SAVE,
-        LAST_EVENT,
+        LAST_EVENT_ID,
         "Hold",
         "Pin-Ms",
         "Kv-Backup",
@@ -70,7 +70,7 @@
 )
 """Request headers that only we may set: whatever a caller puts there goes no further."""
 
-CHANNEL_ONLY = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -91,9 +91,9 @@
 READY_PATH = "/-/readyz"
 REPORT_PATH = "/-/report"
 ORDER_PATH = "/-/order"
-KEPT_EVENTS_PATH = "/-/kv-events"
-KEPT_LIST_PATH = "/-/kv-list"
-FREE_PATH = "/-/kv-free"
+CACHE_EVENTS_PATH = "/-/kv-events"
+CACHE_LIST_PATH = "/-/kv-list"
+CACHE_FREE_PATH = "/-/kv-free"
 ROWS_PATH = "/-/rows-get"
 FEED_PATH = "/-/rows-feed"
 COMMIT_PATH = "/-/rows-tx"
--- a/stairquay/platform/peers.py
+++ b/stairquay/platform/peers.py
@@ -10,10 +10,10 @@
 from stairquay.core.holdings import PartEvent, PartKey
 from stairquay.platform.connections import CONNECT_S
 from stairquay.platform.names import (
-    FREE_PATH,
+    CACHE_EVENTS_PATH,
+    CACHE_FREE_PATH,
+    CACHE_LIST_PATH,
     INSTANCE,
-    KEPT_EVENTS_PATH,
-    KEPT_LIST_PATH,
     ORDER_PATH,
     REPORT_PATH,
     STATE_DRAINING,
@@ -111,7 +111,7 @@
 
     async def kept_changes(self, address: str, since: int, wait_s: float) -> KeptChanges | None:
         """Return a holder's events after a position, None where it does not answer."""
-        url = f"http://{address}{KEPT_EVENTS_PATH}?since={since}"
+        url = f"http://{address}{CACHE_EVENTS_PATH}?since={since}"
         found = await self._get(url, WireEvents, wait_s + ANSWER_S, {WAIT: str(int(wait_s * 1000))})
         if found is None:
             return None
@@ -121,7 +121,7 @@
 
     async def kept(self, address: str) -> Kept | None:
         """Return all that a holder keeps, None where it does not answer."""
-        found = await self._get(f"http://{address}{KEPT_LIST_PATH}", WireKept, ANSWER_S)
+        found = await self._get(f"http://{address}{CACHE_LIST_PATH}", WireKept, ANSWER_S)
         if found is None:
             return None
         parts = tuple(((item[0] or "", item[1]), item[2]) for item in found.held)
@@ -131,7 +131,7 @@
     async def free(self, address: str, keys: tuple[PartKey, ...], life: int) -> bool:
         """Free parts at a store box of a given life; tell whether it was done."""
         body = {"parts": [list(key) for key in keys], "boot_epoch": life}
-        status = await self._post(f"http://{address}{FREE_PATH}", body, {})
+        status = await self._post(f"http://{address}{CACHE_FREE_PATH}", body, {})
         return status == HTTP_OK
 
     async def order(self, order: VersionOrder) -> OrderAnswer:
--- a/stairquay/platform/surroundings.py
+++ b/stairquay/platform/surroundings.py
@@ -1,6 +1,6 @@
 """All of the platform's dialect, put together as the ports of the one-process program."""
 
-from stairquay.platform.callers import CallerDialect
+from stairquay.platform.callers import PlatformCallerCodec
 from stairquay.platform.connections import open_session
 from stairquay.platform.endpoints import EndpointClient
 from stairquay.platform.feeds import Feeds
@@ -25,7 +25,7 @@
         own=OwnRows(table),
         peers=PeerClient(asking),
         endpoints=EndpointClient(forwarding),
-        callers=CallerDialect(),
+        callers=PlatformCallerCodec(),
         ready_path=READY_PATH,
         close=close,
         crashes=FollowedRows(table, CRASH_TABLE),
