--- a/stairquay/platform/connections.py
+++ b/stairquay/platform/connections.py
@@ -15,10 +15,10 @@
 
 from stairquay.adapters.clock import monotonic
 
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 """Seconds to open a connection: data halls are a millisecond apart, and a dead box says nothing."""
 
-IDLE_S = 12.0
+IDLE_TIMEOUT_S = 12.0
 """Seconds for which an idle connection is kept where its endpoint does not say how long it does. With 4, a
 fifth more connections were opened."""
 
@@ -26,16 +26,16 @@
 """Share of an endpoint's own time for idle connections within which one is used again: a request that
 crosses the close may have run or not."""
 
-SILENT_MS = 1_500
+TCP_USER_TIMEOUT_MS = 1_500
 """Milliseconds after which bytes that nobody acknowledged end a connection."""
 
-PROBE_AFTER_S = 1
+KEEPALIVE_INTERVAL_S = 1
 """Seconds without bytes after which a connection is probed, and between two probes."""
 
-PROBES = 2
+MAX_KEEPALIVE_PROBES = 2
 """Probes without an answer after which a connection ends."""
 
-KEEP_ALIVE = re.compile(r"(?:timeout=|^\s*)(\d{1,6})")
+KEEP_ALIVE_PATTERN = re.compile(r"(?:timeout=|^\s*)(\d{1,6})")
 """The header's whole seconds, with or without the name that HTTP gives them."""
 
 MAX_FIELD_BYTES = 32_768
@@ -49,18 +49,18 @@
 class CheckedProtocol(ResponseHandler):
     """A connection that remembers whether it broke, and is not used again after surplus bytes."""
 
-    broke = False
+    broken = False
     stale_at = float("inf")
 
-    def keep_until(self, keep_alive: str) -> None:
+    def set_keep_alive(self, keep_alive: str) -> None:
         """Take in how long the endpoint keeps the connection when idle, counted from its last answer."""
-        found = KEEP_ALIVE.search(keep_alive)
+        found = KEEP_ALIVE_PATTERN.search(keep_alive)
         if found is not None:
             self.stale_at = monotonic() + int(found.group(1)) * KEEP_ALIVE_SHARE
 
     def connection_lost(self, exc: BaseException | None) -> None:
         """Remember how the connection ended."""
-        self.broke = exc is not None
+        self.broken = exc is not None
         super().connection_lost(exc)
 
     def is_connected(self) -> bool:
@@ -72,14 +72,14 @@
 
 
 @dataclass
-class Sending:
+class PendingSend:
     """One request on its way. `allow` is asked at the last moment before its bytes can leave."""
 
-    allow: Callable[[], bool]
+    may_send: Callable[[], bool]
     protocol: CheckedProtocol | None = None
 
 
-SENDING: ContextVar[Sending | None] = ContextVar("sending", default=None)
+PENDING_SEND: ContextVar[PendingSend | None] = ContextVar("sending", default=None)
 """The request that the current task sends."""
 
 
@@ -94,21 +94,21 @@
     async def connect(self, *args: Any, **options: Any) -> Connection:
         """Return a connection for the request that the current task sends."""
         connection = await super().connect(*args, **options)
-        sending = SENDING.get()
-        if sending is None:
+        pending = PENDING_SEND.get()
+        if pending is None:
             return connection
-        if not sending.allow():
+        if not pending.may_send():
             connection.close()
             raise SendRefused("the request may not be sent any more")
         protocol = connection.protocol
         assert isinstance(protocol, CheckedProtocol)
-        sending.protocol = protocol
+        pending.protocol = protocol
         return connection
 
 
-def open_session(connect_s: float = CONNECT_S, idle_s: float = IDLE_S) -> ClientSession:
+def open_session(connect_s: float = CONNECT_TIMEOUT_S, idle_s: float = IDLE_TIMEOUT_S) -> ClientSession:
     """Return a session without cookies, redirects or decoding, whose dead connections end soon."""
-    connector = CheckedConnector(limit=0, keepalive_timeout=idle_s, socket_factory=_socket)
+    connector = CheckedConnector(limit=0, keepalive_timeout=idle_s, socket_factory=_open_socket)
     return ClientSession(
         connector=connector,
         cookie_jar=DummyCookieJar(),
@@ -120,13 +120,13 @@
     )
 
 
-def _socket(address: tuple[Any, ...]) -> socket.socket:
+def _open_socket(address: tuple[Any, ...]) -> socket.socket:
     family, kind, protocol = address[0], address[1], address[2]
-    made = socket.socket(family, kind, protocol)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_AFTER_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    return made
+    opened = socket.socket(family, kind, protocol)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_KEEPALIVE_PROBES)
+    return opened
--- a/stairquay/platform/endpoints.py
+++ b/stairquay/platform/endpoints.py
@@ -11,7 +11,7 @@
 from stairquay.core.attempt import Attempt, AttemptState
 from stairquay.core.call import Call, Dispatch
 from stairquay.core.errors import ErrorKind, ExecutionStatus
-from stairquay.platform.connections import SENDING, CheckedProtocol, Sending, SendRefused
+from stairquay.platform.connections import PENDING_SEND, CheckedProtocol, PendingSend, SendRefused
 from stairquay.platform.names import (
     EXPECT_VERSION,
     FETCH,
@@ -51,12 +51,12 @@
     ) -> Result[Reply, SendFailure]:
         """Send a request, and return the answer's head, or why there is none."""
 
-        def allow() -> bool:
+        def may_send() -> bool:
             # The library may want to send a request once more by itself: that is never allowed.
             return guard() and attempt.state == AttemptState.PLANNED and attempt.send()
 
-        sending = Sending(allow)
-        token = SENDING.set(sending)
+        pending = PendingSend(may_send)
+        token = PENDING_SEND.set(pending)
         try:
             async with asyncio.timeout(wait_s):
                 response = await self.session.request(
@@ -83,10 +83,10 @@
                 )
             )
         finally:
-            SENDING.reset(token)
-        if sending.protocol is not None:
-            sending.protocol.keep_until(response.headers.get(KEEP_ALIVE, ""))
-        return _judge(call, response, attempt, sending.protocol)
+            PENDING_SEND.reset(token)
+        if pending.protocol is not None:
+            pending.protocol.set_keep_alive(response.headers.get(KEEP_ALIVE, ""))
+        return _judge(call, response, attempt, pending.protocol)
 
 
 def _headers(call: Call, dispatch: Dispatch) -> CIMultiDict[str]:
--- a/stairquay/platform/peers.py
+++ b/stairquay/platform/peers.py
@@ -8,7 +8,7 @@
 from aiohttp import ClientError, ClientSession
 
 from stairquay.core.holdings import PartEvent, PartKey
-from stairquay.platform.connections import CONNECT_S
+from stairquay.platform.connections import CONNECT_TIMEOUT_S
 from stairquay.platform.names import (
     CACHE_EVENTS_PATH,
     CACHE_FREE_PATH,
@@ -155,7 +155,7 @@
         """Tell whether something takes connections at an address: a port that was left resets at once."""
         host, _, port = address.rpartition(":")
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(host, int(port))
         except (OSError, TimeoutError):
             return False
