--- a/stairquay/platform/endpoints.py
+++ b/stairquay/platform/endpoints.py
@@ -30,10 +30,10 @@
     VERSION,
     WORKSPACE,
 )
-from stairquay.platform.statements import statement
+from stairquay.platform.statements import parse_feedback
 from stairquay.serving.ports import BrokenAnswer, Guard, Reply, SendFailure
 
-NOWHERE = "-"
+NO_ADDRESS = "-"
 """Stands for a part that is neither fetched nor saved."""
 
 HTTP_MISDIRECTED = 421
@@ -62,7 +62,7 @@
                 response = await self.session.request(
                     call.method,
                     URL(f"http://{dispatch.address}{call.target}", encoded=True),
-                    headers=_headers(call, dispatch),
+                    headers=_request_headers(call, dispatch),
                     data=body or None,
                     allow_redirects=False,
                 )
@@ -86,10 +86,10 @@
             PENDING_SEND.reset(token)
         if pending.protocol is not None:
             pending.protocol.set_keep_alive(response.headers.get(KEEP_ALIVE, ""))
-        return _judge(call, response, attempt, pending.protocol)
+        return _validate_response(call, response, attempt, pending.protocol)
 
 
-def _headers(call: Call, dispatch: Dispatch) -> CIMultiDict[str]:
+def _request_headers(call: Call, dispatch: Dispatch) -> CIMultiDict[str]:
     headers = CIMultiDict(call.headers)
     headers["Host"] = call.host
     headers[TIME_LEFT] = str(max(1, int(dispatch.time_left_s * 1000)))
@@ -114,10 +114,10 @@
 
 
 def _addresses(by_part: tuple[str, ...]) -> str:
-    return ",".join(address or NOWHERE for address in by_part)
+    return ",".join(address or NO_ADDRESS for address in by_part)
 
 
-def _judge(
+def _validate_response(
     call: Call, response: ClientResponse, attempt: Attempt, protocol: CheckedProtocol | None
 ) -> Result[Reply, SendFailure]:
     """Return the answer if it belongs to this request and counts."""
@@ -128,9 +128,9 @@
         misdirected = status == HTTP_MISDIRECTED
         detail = f"refused with {status}"
         # The endpoint that a request was misdirected to speaks of itself.
-        said = None if misdirected else statement(response.headers, status)
+        feedback = None if misdirected else parse_feedback(response.headers, status)
         return Err(
-            SendFailure(ErrorKind.ENDPOINT_REFUSED, attempt.ran, detail, status, misdirected, said=said)
+            SendFailure(ErrorKind.ENDPOINT_REFUSED, attempt.ran, detail, status, misdirected, said=feedback)
         )
     if response.headers.get(REQUEST_ID) != call.id:
         response.close()
@@ -149,23 +149,23 @@
     return Ok(
         Reply(
             status=status,
-            headers=_passed_back(response),
-            chunks=lambda: _chunks(response, protocol),
+            headers=_response_headers(response),
+            chunks=lambda: _body_chunks(response, protocol),
             close=response.close,
             streamed=response.content_type == STREAM_TYPE,
             version=int(version) if version.isdecimal() else None,
-            said=statement(response.headers, status),
+            said=parse_feedback(response.headers, status),
         )
     )
 
 
-def _passed_back(response: ClientResponse) -> tuple[tuple[str, str], ...]:
-    named = {item.strip().lower() for item in response.headers.get("Connection", "").split(",")}
-    dropped = (HOP_BY_HOP_HEADERS | named) - {SIGNATURE.lower(), REQUEST_ID.lower()}
+def _response_headers(response: ClientResponse) -> tuple[tuple[str, str], ...]:
+    connection_options = {item.strip().lower() for item in response.headers.get("Connection", "").split(",")}
+    dropped = (HOP_BY_HOP_HEADERS | connection_options) - {SIGNATURE.lower(), REQUEST_ID.lower()}
     return tuple((name, value) for name, value in response.headers.items() if name.lower() not in dropped)
 
 
-async def _chunks(response: ClientResponse, protocol: CheckedProtocol | None) -> AsyncIterator[bytes]:
+async def _body_chunks(response: ClientResponse, protocol: CheckedProtocol | None) -> AsyncIterator[bytes]:
     """Yield the body as it arrives.
 
     A body without a length ends with its connection; the library takes a reset for such an end too.
@@ -176,5 +176,5 @@
             yield chunk
     except (ClientError, OSError) as error:
         raise BrokenAnswer(type(error).__name__) from error
-    if not framed and (protocol is None or protocol.broke):
+    if not framed and (protocol is None or protocol.broken):
         raise BrokenAnswer("the connection was reset")
--- a/stairquay/platform/statements.py
+++ b/stairquay/platform/statements.py
@@ -14,46 +14,48 @@
 Headers = CIMultiDictProxy[str]
 Value = TypeVar("Value", bool, float)
 
-TURNED_AWAY = 503
+HTTP_UNAVAILABLE = 503
 """Status of an answer that may ask for rest."""
 
-SAYS_LEAVING = "1"
-EMPTY = "(empty)"
+LEAVING_VALUE = "1"
+EMPTY_VALUE = "(empty)"
 
 
-def statement(headers: Headers, status: int) -> Statement:
+def parse_feedback(headers: Headers, status: int) -> Statement:
     """Return what an answer's head says of its endpoint. Of several limits the lowest holds, of several rests
     the longest."""
-    limit = _read(headers, LIMIT, parse_decimal, min, UNLIMITED)
-    leaving = _read(headers, LEAVING, _read_leaving, max, False)
-    rest: float | None = 0.0
-    if status == TURNED_AWAY:
+    limit = _parse_header(headers, LIMIT, parse_decimal, min, UNLIMITED)
+    leaving = _parse_header(headers, LEAVING, _parse_leaving, max, False)
+    backoff_s: float | None = 0.0
+    if status == HTTP_UNAVAILABLE:
         answered_at = parse_date(headers.get(DATE, ""), datetime.now(UTC))
-        rest = _read(headers, RETRY_AFTER, lambda text: parse_retry_after(text, answered_at), max, 0.0)
+        backoff_s = _parse_header(
+            headers, RETRY_AFTER, lambda text: parse_retry_after(text, answered_at), max, 0.0
+        )
     names_by_topic = {Topic.LIMIT: LIMIT, Topic.LEAVING: LEAVING, Topic.REST: RETRY_AFTER}
-    values = {Topic.LIMIT: limit, Topic.LEAVING: leaving, Topic.REST: rest}
+    values = {Topic.LIMIT: limit, Topic.LEAVING: leaving, Topic.REST: backoff_s}
     unreadable = tuple(
-        (topic, headers.get(name, "") or EMPTY)
+        (topic, headers.get(name, "") or EMPTY_VALUE)
         for topic, name in names_by_topic.items()
         if values[topic] is None
     )
-    return Statement(limit, leaving, rest, unreadable)
+    return Statement(limit, leaving, backoff_s, unreadable)
 
 
-def _read(
+def _parse_header(
     headers: Headers,
     name: str,
-    read: Callable[[str], Value | None],
-    choose: Callable[[list[Value]], Value],
-    unsaid: Value,
+    parse: Callable[[str], Value | None],
+    combine: Callable[[list[Value]], Value],
+    default: Value,
 ) -> Value | None:
     """Return what a header says, None where nothing in it can be read."""
     texts = headers.getall(name, [])
     if not texts:
-        return unsaid
-    readable = [value for text in texts if (value := read(text)) is not None]
-    return choose(readable) if readable else None
+        return default
+    readable = [value for text in texts if (value := parse(text)) is not None]
+    return combine(readable) if readable else None
 
 
-def _read_leaving(text: str) -> bool | None:
-    return True if text.strip() == SAYS_LEAVING else None
+def _parse_leaving(text: str) -> bool | None:
+    return True if text.strip() == LEAVING_VALUE else None
--- a/tests/test_statements_read.py
+++ b/tests/test_statements_read.py
@@ -9,14 +9,14 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from stairquay.core.rest import MAX_BACKOFF_S, PROBE_INTERVAL_S, Backoff, parse_retry_after
-from stairquay.platform.statements import statement
+from stairquay.platform.statements import parse_feedback
 from stairquay.serving.ports import Statement, Topic
 
 NOON = datetime(2026, 1, 5, 12, 0, tzinfo=UTC)
 
 
 def said(status: int = 503, *headers: tuple[str, str]) -> Statement:
-    return statement(CIMultiDictProxy(CIMultiDict(headers)), status)
+    return parse_feedback(CIMultiDictProxy(CIMultiDict(headers)), status)
 
 
 @pytest.mark.parametrize(
