--- a/stairquay/platform/feeds.py
+++ b/stairquay/platform/feeds.py
@@ -36,7 +36,7 @@
 from stairquay.platform.weights import WireModel, versions_by_model
 from stairquay.serving.ports import EndpointChanges, FeedFault, OperatorChanges
 
-MEGABIT_BYTES = 125_000.0
+BYTES_PER_MEGABIT = 125_000.0
 """Bytes in a million bits."""
 
 MAX_COLD_S = 60.0
@@ -44,7 +44,7 @@
 
 MAX_PORT = 65_535
 
-UNREADABLE = (msgspec.MsgspecError, ValueError)
+DECODE_ERRORS = (msgspec.MsgspecError, ValueError)
 """What decoding a row raises whose bytes or fields are not as promised."""
 
 
@@ -188,10 +188,10 @@
     catalog: Catalog | None = None
     unreadable = ""
     versions: dict[str, int] = {}
-    halls: dict[bool, list[str]] = {True: [], False: []}
+    halls_by_removed: dict[bool, list[str]] = {True: [], False: []}
     for row in rows.rows:
         if row.key.startswith(EVACUATION_PREFIX):
-            halls[row.gone].append(row.key.removeprefix(EVACUATION_PREFIX))
+            halls_by_removed[row.gone].append(row.key.removeprefix(EVACUATION_PREFIX))
             continue
         try:
             text = row.text()
@@ -200,9 +200,9 @@
             if row.key == CONFIG_KEY:
                 catalog = decode_catalog(text)
             elif row.key.startswith(VERSION_PREFIX):
-                named = msgspec.json.decode(text, type=WireVersion)
-                versions[named.model] = named.version
-        except UNREADABLE as error:
+                target = msgspec.json.decode(text, type=WireVersion)
+                versions[target.model] = target.version
+        except DECODE_ERRORS as error:
             unreadable = f"{row.key}: {error}"
     return OperatorChanges(
         rows.ver,
@@ -210,8 +210,8 @@
         catalog,
         unreadable,
         versions,
-        evacuated=tuple(halls[False]),
-        returned=tuple(halls[True]),
+        evacuated=tuple(halls_by_removed[False]),
+        returned=tuple(halls_by_removed[True]),
     )
 
 
@@ -226,14 +226,14 @@
             if text is None:
                 gone.append(row.key)
             else:
-                present.append(_endpoint(row, text))
-        except UNREADABLE as error:
+                present.append(_decode_endpoint(row, text))
+        except DECODE_ERRORS as error:
             unreadable[row.key] = str(error)
             gone.append(row.key)
     return EndpointChanges(rows.ver, whole, tuple(present), tuple(gone), unreadable=unreadable)
 
 
-def _endpoint(row: WireRow, text: str) -> Endpoint:
+def _decode_endpoint(row: WireRow, text: str) -> Endpoint:
     """Decode an entry; raises one of UNREADABLE where it names no endpoint to use."""
     entry = msgspec.json.decode(text, type=WireEndpoint)
     if entry.state not in (STATE_READY, STATE_DRAINING):
@@ -274,27 +274,29 @@
     workspaces = config.tenants or []
     return Catalog(
         version=config.version,
-        routes=tuple(_route(route) for route in config.routes),
-        services_by_id={item.name: _service(item) for item in config.services if not item.kv_store_addr},
-        stores_by_id={item.name: _store(item) for item in config.services if item.kv_store_addr},
+        routes=tuple(_decode_route(route) for route in config.routes),
+        services_by_id={
+            item.name: _decode_service(item) for item in config.services if not item.kv_store_addr
+        },
+        stores_by_id={item.name: _decode_store(item) for item in config.services if item.kv_store_addr},
         workspaces_by_key={
             key: WorkspacePolicy(item.name, item.isolated, item.priority)
             for item in workspaces
             for key in item.api_keys
         },
         keys_required=config.tenants is not None,
-        region_restricted=_homed(config.routes, workspaces),
+        region_restricted=_region_restricted_names(config.routes, workspaces),
         limits=CallerLimits(config.limits.max_body_bytes),
     )
 
 
-def _homed(routes: list[WireRoute], workspaces: list[WireWorkspace]) -> tuple[str, ...]:
+def _region_restricted_names(routes: list[WireRoute], workspaces: list[WireWorkspace]) -> tuple[str, ...]:
     """Return the names of routes and workspaces that are to be served in some regions only."""
-    homed = [route.name for route in routes if route.allowed_regions]
-    return (*homed, *(workspace.name for workspace in workspaces if workspace.allowed_regions))
+    restricted_routes = [route.name for route in routes if route.allowed_regions]
+    return (*restricted_routes, *(workspace.name for workspace in workspaces if workspace.allowed_regions))
 
 
-def _route(route: WireRoute) -> Route:
+def _decode_route(route: WireRoute) -> Route:
     splits = tuple(Split(item.service, item.weight) for item in route.traffic_split)
     return Route(
         id=route.name,
@@ -313,29 +315,29 @@
     )
 
 
-def _service(service: WireService) -> ServiceSpec:
+def _decode_service(service: WireService) -> ServiceSpec:
     engine = service.engine
     cold = ColdLimit(service.cold_per_s, service.cold_start_s) if service.cold_per_s > 0 else None
     if engine is None:
         return ServiceSpec(service.name, service.max_connections, cold=cold)
-    shape = EngineSpec(
+    spec = EngineSpec(
         slots=engine.slots,
         memory_tokens=engine.kv_capacity_tokens,
         bytes_per_token=int(engine.kv_token_bytes),
-        link_bytes_s=engine.link_mbps * MEGABIT_BYTES,
+        link_bytes_s=engine.link_mbps * BYTES_PER_MEGABIT,
         models=tuple(model.name for model in engine.models),
         max_followers=engine.max_concurrency,
     )
-    return ServiceSpec(service.name, service.max_connections, shape, cold)
+    return ServiceSpec(service.name, service.max_connections, spec, cold)
 
 
-def _store(service: WireService) -> StoreSpec:
+def _decode_store(service: WireService) -> StoreSpec:
     return StoreSpec(
         id=service.name,
         address=service.kv_store_addr,
         data_hall=service.zone,
         memory_tokens=service.kv_capacity_tokens,
-        link_bytes_s=service.link_mbps * MEGABIT_BYTES,
+        link_bytes_s=service.link_mbps * BYTES_PER_MEGABIT,
         first_byte_s=service.first_ms / 1000,
         max_followers=service.max_concurrency,
         managed=service.managed,
--- a/stairquay/platform/peers.py
+++ b/stairquay/platform/peers.py
@@ -22,7 +22,7 @@
 from stairquay.platform.weights import WireModel, versions_by_model
 from stairquay.serving.ports import EngineReport, Kept, KeptChanges, OrderAnswer, VersionOrder
 
-ANSWER_S = 0.5
+RESPONSE_TIMEOUT_S = 0.5
 """Seconds for an answer of an engine or store box, besides a wait that was asked for."""
 
 HTTP_OK = 200
@@ -31,7 +31,7 @@
 kept an engine out of work for three to six seconds instead of one and a half; cutting them off (`truncate`)
 would lose their answers."""
 
-ORDER_ANSWERS = {
+ORDER_ANSWERS_BY_STATUS = {
     200: OrderAnswer.IN_FORCE,
     202: OrderAnswer.UNDER_WAY,
     409: OrderAnswer.CONFLICT,
@@ -60,7 +60,7 @@
     cold_remaining_ms: float | None = None
 
 
-class WireEvents(msgspec.Struct):
+class WireCacheEvents(msgspec.Struct):
     """Events of a holder: [number, sign, scope, part, tokens kept now, model]."""
 
     boot_epoch: int
@@ -70,7 +70,7 @@
     clock_ms: float | None = None
 
 
-class WireKept(msgspec.Struct):
+class WireCacheSnapshot(msgspec.Struct):
     """All parts of a holder: [scope, part, tokens, model]; partial ones are [scope, part, whole, taken]."""
 
     boot_epoch: int
@@ -90,7 +90,7 @@
 
     async def report(self, address: str) -> EngineReport | None:
         """Return an endpoint's state, None where it does not answer."""
-        found = await self._get(f"http://{address}{REPORT_PATH}", WireReport, ANSWER_S)
+        found = await self._get(f"http://{address}{REPORT_PATH}", WireReport, RESPONSE_TIMEOUT_S)
         if found is None:
             return None
         return EngineReport(
@@ -112,7 +112,9 @@
     async def kept_changes(self, address: str, since: int, wait_s: float) -> KeptChanges | None:
         """Return a holder's events after a position, None where it does not answer."""
         url = f"http://{address}{CACHE_EVENTS_PATH}?since={since}"
-        found = await self._get(url, WireEvents, wait_s + ANSWER_S, {WAIT: str(int(wait_s * 1000))})
+        found = await self._get(
+            url, WireCacheEvents, wait_s + RESPONSE_TIMEOUT_S, {WAIT: str(int(wait_s * 1000))}
+        )
         if found is None:
             return None
         events = tuple(PartEvent(item[0], item[2] or "", item[3], item[4]) for item in found.events)
@@ -121,7 +123,7 @@
 
     async def kept(self, address: str) -> Kept | None:
         """Return all that a holder keeps, None where it does not answer."""
-        found = await self._get(f"http://{address}{CACHE_LIST_PATH}", WireKept, ANSWER_S)
+        found = await self._get(f"http://{address}{CACHE_LIST_PATH}", WireCacheSnapshot, RESPONSE_TIMEOUT_S)
         if found is None:
             return None
         parts = tuple(((item[0] or "", item[1]), item[2]) for item in found.held)
@@ -149,7 +151,7 @@
         status = await self._post(f"http://{order.address}{ORDER_PATH}", body, {INSTANCE: order.endpoint})
         if status is None:
             return OrderAnswer.SILENT
-        return ORDER_ANSWERS.get(status, OrderAnswer.REFUSED)
+        return ORDER_ANSWERS_BY_STATUS.get(status, OrderAnswer.REFUSED)
 
     async def accepts(self, address: str) -> bool:
         """Tell whether something takes connections at an address: a port that was left resets at once."""
@@ -163,10 +165,10 @@
         return True
 
     async def _get(
-        self, url: str, kind: type[T], limit_s: float, headers: dict[str, str] | None = None
+        self, url: str, kind: type[T], timeout_s: float, headers: dict[str, str] | None = None
     ) -> T | None:
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 async with self.session.get(url, headers=headers) as response:
                     content = await response.read()
         except (ClientError, TimeoutError, OSError):
@@ -181,7 +183,7 @@
 
     async def _post(self, url: str, body: dict[str, Any], headers: dict[str, str]) -> int | None:
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 async with self.session.post(url, json=body, headers=headers) as response:
                     await response.read()
                     return response.status
--- a/stairquay/platform/rows.py
+++ b/stairquay/platform/rows.py
@@ -16,7 +16,7 @@
 from stairquay.platform.names import COMMIT_PATH, FEED_PATH, OWN_TABLE, ROWS_PATH
 from stairquay.serving.ports import FeedFault
 
-ANSWER_S = 0.7
+RESPONSE_TIMEOUT_S = 0.7
 """Seconds that the table service may take for an answer, besides a wait that was asked for: an outage
 that slows it sixtyfold makes a call of 4 ms take 0.24 s and a transaction of 5 ms take 0.3 s."""
 
@@ -73,7 +73,7 @@
             query = {"table": table, "part": "", "limit": str(PAGE_ROWS)}
             if start_at:
                 query["from"] = start_at
-            page = await self._get(ROWS_PATH, query, ANSWER_S)
+            page = await self._get(ROWS_PATH, query, RESPONSE_TIMEOUT_S)
             if isinstance(page, Err):
                 return Err(PlatformFault.UNREACHED)
             revision = page.ok_value.ver if revision is None else revision
@@ -85,40 +85,42 @@
     async def feed(self, table: str, after: int, wait_s: float) -> Result[WireRows, FeedFault]:
         """Wait for the rows of a table that change after a revision."""
         query = {"table": table, "after": str(after), "wait_ms": str(int(wait_s * 1000))}
-        return await self._get(FEED_PATH, query, wait_s + ANSWER_S)
+        return await self._get(FEED_PATH, query, wait_s + RESPONSE_TIMEOUT_S)
 
     async def commit(
         self, commit: Commit, table: str = OWN_TABLE
     ) -> Result[Committed | Conflict, PlatformFault]:
         """Write all rows of a table of our own if all conditions hold."""
         body = {
-            "expected": [{**_place(table, item.key), "ver": item.revision} for item in commit.conditions],
+            "expected": [{**_row_id(table, item.key), "ver": item.revision} for item in commit.conditions],
             "put": [
-                {**_place(table, item.key), "value": b64encode(item.value.encode()).decode()}
+                {**_row_id(table, item.key), "value": b64encode(item.value.encode()).decode()}
                 for item in commit.writes
                 if item.value is not None
             ],
-            "remove": [_place(table, item.key) for item in commit.writes if item.value is None],
+            "remove": [_row_id(table, item.key) for item in commit.writes if item.value is None],
         }
-        asked_at = monotonic()
+        requested_at = monotonic()
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 async with self.session.post(self.url + COMMIT_PATH, json=body) as response:
                     content = await response.read()
         except (ClientError, TimeoutError, OSError):
             return Err(PlatformFault.UNKNOWN)
         if response.status == HTTP_OK:
-            return Ok(Committed(self._decode(content, asked_at).ver))
+            return Ok(Committed(self._decode(content, requested_at).ver))
         if response.status == HTTP_CONFLICT:
             rows = msgspec.json.decode(content, type=WireRows).rows
-            return Ok(Conflict(tuple(own_row(row) for row in rows)))
+            return Ok(Conflict(tuple(decode_row(row) for row in rows)))
         refused = response.status in (HTTP_TOO_MANY, HTTP_UNAVAILABLE)
         return Err(PlatformFault.UNREACHED if refused else PlatformFault.UNKNOWN)
 
-    async def _get(self, path: str, query: Mapping[str, str], limit_s: float) -> Result[WireRows, FeedFault]:
-        asked_at = monotonic()
+    async def _get(
+        self, path: str, query: Mapping[str, str], timeout_s: float
+    ) -> Result[WireRows, FeedFault]:
+        requested_at = monotonic()
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 async with self.session.get(self.url + path, params=query) as response:
                     content = await response.read()
         except (ClientError, TimeoutError, OSError):
@@ -128,16 +130,18 @@
         if response.status != HTTP_OK:
             return Err(FeedFault.UNREACHED)
         try:
-            return Ok(self._decode(content, asked_at))
+            return Ok(self._decode(content, requested_at))
         except msgspec.MsgspecError:
             return Err(FeedFault.UNREACHED)
 
-    def _decode(self, content: bytes, asked_at: float) -> WireRows:
+    def _decode(self, content: bytes, requested_at: float) -> WireRows:
         """Read an answer with rows, and note the clock that it tells."""
         found = msgspec.json.decode(content, type=WireRows)
         if found.now_ms > 0:
-            told = ClockOffset.from_exchange(found.now_ms / 1000, asked_at, monotonic())
-            self.clock_offset = told if self.clock_offset is None else self.clock_offset.narrowed(told)
+            measured = ClockOffset.from_exchange(found.now_ms / 1000, requested_at, monotonic())
+            self.clock_offset = (
+                measured if self.clock_offset is None else self.clock_offset.narrowed(measured)
+            )
         return found
 
 
@@ -157,7 +161,7 @@
         found = await self.client.rows(OWN_TABLE, prefix)
         if isinstance(found, Err):
             return found
-        rows = (own_row(row) for row in found.ok_value.rows)
+        rows = (decode_row(row) for row in found.ok_value.rows)
         return Ok(tuple(row for row in rows if row.key.startswith(prefix)))
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflict, PlatformFault]:
@@ -195,10 +199,10 @@
 
 
 def _changes(found: WireRows) -> Changes:
-    return Changes(found.ver, tuple(own_row(row) for row in found.rows))
+    return Changes(found.ver, tuple(decode_row(row) for row in found.rows))
 
 
-def own_row(row: WireRow) -> Row:
+def decode_row(row: WireRow) -> Row:
     """Return a row of our own table in our own type. Bytes that are no text give a value no reader takes."""
     try:
         return Row(row.key, row.text(), row.ver)
@@ -206,5 +210,5 @@
         return Row(row.key, "", row.ver)
 
 
-def _place(table: str, key: str) -> dict[str, Any]:
+def _row_id(table: str, key: str) -> dict[str, Any]:
     return {"table": table, "part": "", "key": key}
--- a/stairquay/platform/surroundings.py
+++ b/stairquay/platform/surroundings.py
@@ -12,19 +12,19 @@
 
 def open_surroundings(table_address: str) -> Surroundings:
     """Open the clients; a loop must be running."""
-    forwarding = open_session()
-    asking = open_session()
-    table = TableClient(table_address, asking)
+    request_session = open_session()
+    control_session = open_session()
+    table = TableClient(table_address, control_session)
 
     async def close() -> None:
-        await forwarding.close()
-        await asking.close()
+        await request_session.close()
+        await control_session.close()
 
     return Surroundings(
         feeds=Feeds(table),
         own=OwnRows(table),
-        peers=PeerClient(asking),
-        endpoints=EndpointClient(forwarding),
+        peers=PeerClient(control_session),
+        endpoints=EndpointClient(request_session),
         callers=PlatformCallerCodec(),
         ready_path=READY_PATH,
         close=close,
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from stairquay.platform.feeds import endpoint_changes, operator_changes
-from stairquay.platform.peers import WireEvents, WireKept, WireReport
-from stairquay.platform.rows import WireRow, WireRows, own_row
+from stairquay.platform.peers import WireCacheEvents, WireCacheSnapshot, WireReport
+from stairquay.platform.rows import WireRow, WireRows, decode_row
 
 GOOD = {
     "service": "plain",
@@ -61,12 +61,12 @@
 
 @given(CONTENTS)
 def test_a_row_of_our_own_is_text_whatever_stands_there(content):
-    assert isinstance(own_row(rows_of("stairquay", {"box/b": content}).rows[0]).value, str)
+    assert isinstance(decode_row(rows_of("stairquay", {"box/b": content}).rows[0]).value, str)
 
 
 @given(CONTENTS)
 def test_reports_and_lists_of_kept_context_are_typed_or_refused(content):
-    for kind in (WireReport, WireEvents, WireKept):
+    for kind in (WireReport, WireCacheEvents, WireCacheSnapshot):
         try:
             assert isinstance(msgspec.json.decode(content, type=kind), kind)
         except msgspec.MsgspecError:
