--- a/stairquay/platform/surroundings.py
+++ b/stairquay/platform/clients.py
@@ -10,7 +10,7 @@
 from stairquay.serving.ports import Surroundings
 
 
-def open_surroundings(table_address: str) -> Surroundings:
+def open_clients(table_address: str) -> Surroundings:
     """Open the clients; a loop must be running."""
     request_session = open_session()
     control_session = open_session()
