--- a/stairquay/platform/__init__.py
+++ b/stairquay/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its names, formats and calls, translated into the project's own types.
+"""Adapters for the users' platform: its wire names, formats and calls, translated into this project's types.
 
-Nothing here decides anything, and nothing outside this folder knows these names.
+No policy belongs here, and no wire name of the platform belongs anywhere else.
 """
--- a/stairquay/platform/boot.py
+++ b/stairquay/platform/boot.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays on a box, decoded into the program's settings."""
+"""Decodes the settings file that the platform provides on each box."""
 
 import tomllib
 from collections.abc import Mapping
@@ -13,28 +13,28 @@
 from stairquay.serving.settings import BoxSettings, FreshnessSettings, LeaseSettings
 
 KEYED_STALENESS_SHARE = 0.92
-"""Share of the bound on revoked keys after which keyed requests are refused; the rest covers the way
-from the check to the endpoint."""
+"""Share of the time limit for key revocation after which requests with a key are refused; the rest covers
+the time from the check to the endpoint."""
 
 READY_STALENESS_SHARE = 0.5
-"""Share of that bound after which the box reports unready: requests are not owed from 0.6 of it on."""
+"""Share of that time limit after which the box reports unready. Past 0.6 it need not serve requests."""
 
 HANDOVER_SLACK_S = 0.3
-"""Added to the pause between two holders of the lease, for orders on their way."""
+"""Seconds added between two holders of the lease, for orders still in transit."""
 
 DEFAULT_MAX_DESCRIPTORS = 1024
 
 
 @dataclass(frozen=True)
 class BootSettings:
-    """What a box needs to start: its settings, and the address of the table service."""
+    """The settings of a box, and the address of the platform's table service."""
 
     settings: BoxSettings
     table_address: str
 
 
 def load_boot_settings(path: Path, metrics_port: int) -> Result[BootSettings, list[Mistake]]:
-    """Return the settings in the platform's file, or every mistake in it."""
+    """Load the settings file, or return all validation errors in it."""
     try:
         tables = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -43,7 +43,7 @@
 
 
 def parse_boot_settings(tables: Mapping[str, Any], metrics_port: int) -> Result[BootSettings, list[Mistake]]:
-    """Return settings from the file's tables; fields that are not known are passed over."""
+    """Parse the tables of the settings file; unknown fields are ignored."""
     reader = _FieldReader(tables)
     ip = reader.text("ip")
     settings = BoxSettings(
@@ -90,7 +90,7 @@
 
 
 class _FieldReader:
-    """Reads fields by dotted path, and gathers what is wrong with them."""
+    """Reads fields by dotted path and collects validation errors."""
 
     def __init__(self, tables: Mapping[str, Any]) -> None:
         self.tables = tables
@@ -100,7 +100,7 @@
         value = self._find(path)
         if isinstance(value, str) and value:
             return value
-        self.mistakes.append(Mistake(f"$.{path}", f"expected a text, not {value!r}"))
+        self.mistakes.append(Mistake(f"$.{path}", f"expected a non-empty string, not {value!r}"))
         return ""
 
     def address(self, path: str) -> str:
@@ -112,7 +112,7 @@
         return ""
 
     def peer_address(self, ip: str) -> str:
-        """Return the address for other boxes: the last of the ports that are free for that."""
+        """Return the address for other boxes, at the second internal port; empty if none are given."""
         ports = self._find("internal_ports")
         if ports is None:
             return ""
--- a/stairquay/platform/callers.py
+++ b/stairquay/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests, decoded from the platform's headers, and refusals in its words."""
+"""Decodes callers' requests from the platform's headers, and encodes refusals."""
 
 from math import ceil
 
@@ -22,20 +22,20 @@
 )
 
 MAX_ID_CHARS = 200
-"""Longest id of a request or part, in characters; the platform's own have 8 to 16."""
+"""Maximum length of the id of a request or prompt part."""
 
 MAX_PARTS = 64
-"""Most parts of a prompt that are read."""
+"""Maximum number of parts of a prompt."""
 
 MAX_TOKENS = 10_000_000
-"""Largest count of tokens that is read."""
+"""Maximum token count in a header."""
 
 
 class PlatformCallerCodec:
-    """Decodes requests and writes refusals."""
+    """Decodes requests and encodes refusals."""
 
     def decode(self, request: web.Request) -> Result[Call, Refusal]:
-        """Return the request in our own types, or why it is malformed."""
+        """Decode a request, or return a refusal if it is malformed."""
         headers = request.headers
         call_id = headers.get(REQUEST_ID, "")
         if not call_id or len(call_id) > MAX_ID_CHARS:
@@ -62,10 +62,10 @@
         )
 
     def refuse(self, call_id: str, refusal: Refusal) -> web.Response:
-        """Return the answer to a request that was given up on."""
+        """Return the error response to a request."""
         headers = {REQUEST_ID: call_id} if call_id else {}
         if refusal.effective_retry_after_s is not None:
-            # Rounded up: who comes some milliseconds before its turn would be refused again.
+            # Rounded up, so that no retry comes too early.
             headers[RETRY_AFTER] = f"{ceil(refusal.effective_retry_after_s * 100) / 100:.2f}"
         body = {"error": {"kind": refusal.kind.value, "ran": refusal.ran.value, "message": refusal.message}}
         return web.json_response(body, status=refusal.response.status, headers=headers)
@@ -96,7 +96,7 @@
 def _parse_prompt(
     model: str | None, tokens: str | None, parts: str | None
 ) -> Result[PromptShape | None, Refusal]:
-    """Return the prompt's shape, None where the request has no prompt."""
+    """Parse the headers of a prompt; None if the request has none."""
     if model is None or tokens is None or parts is None:
         return Ok(None)
     counts = [_parse_token_count(item) for item in tokens.split(",")]
@@ -127,7 +127,7 @@
 
 
 def _forwarded_headers(request: web.Request) -> tuple[tuple[str, str], ...]:
-    """Return the headers that go on: no others than the caller's own, and none for one connection only."""
+    """Return the headers to forward, without reserved and hop-by-hop ones."""
     connection_options = {item.strip().lower() for item in request.headers.get("Connection", "").split(",")}
     dropped = (
         HOP_BY_HOP_HEADERS
--- a/stairquay/platform/connections.py
+++ b/stairquay/platform/connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that are safe to use again, and that tell how they ended."""
+"""HTTP connections with safe reuse: stale ones are dropped, and resets are told from regular closes."""
 
 import asyncio
 import re
@@ -16,55 +16,57 @@
 from stairquay.adapters.clock import monotonic
 
 CONNECT_TIMEOUT_S = 0.4
-"""Seconds to open a connection: data halls are a millisecond apart, and a dead box says nothing."""
+"""Timeout of opening a connection, in seconds."""
 
 IDLE_TIMEOUT_S = 12.0
-"""Seconds for which an idle connection is kept where its endpoint does not say how long it does. With 4, a
-fifth more connections were opened."""
+"""Seconds for which an idle connection is kept if the endpoint sends no Keep-Alive header."""
 
 KEEP_ALIVE_SHARE = 0.8
-"""Share of an endpoint's own time for idle connections within which one is used again: a request that
-crosses the close may have run or not."""
+"""Share of an endpoint's Keep-Alive time within which an idle connection is reused. The margin avoids sending
+a request while the endpoint closes, after which it is unknown whether it ran."""
 
 TCP_USER_TIMEOUT_MS = 1_500
-"""Milliseconds after which bytes that nobody acknowledged end a connection."""
+"""Milliseconds for which sent data may stay unacknowledged before the connection is closed."""
 
 KEEPALIVE_INTERVAL_S = 1
-"""Seconds without bytes after which a connection is probed, and between two probes."""
+"""Seconds before the first keepalive probe of an idle connection, and between probes."""
 
 MAX_KEEPALIVE_PROBES = 2
-"""Probes without an answer after which a connection ends."""
+"""Unanswered keepalive probes after which a connection is closed."""
 
 KEEP_ALIVE_PATTERN = re.compile(r"(?:timeout=|^\s*)(\d{1,6})")
-"""The header's whole seconds, with or without the name that HTTP gives them."""
+"""Matches the seconds of a Keep-Alive header, with or without `timeout=`."""
 
 MAX_FIELD_BYTES = 32_768
-"""Longest header field and first line of an endpoint's answer."""
+"""Maximum size of a header field and of the status line of a response."""
 
 
 class SendRefused(ClientError):
-    """The request must not be sent any more."""
+    """The request must not be sent any more, so no bytes of it were."""
 
 
 class CheckedProtocol(ResponseHandler):
-    """A connection that remembers whether it broke, and is not used again after surplus bytes."""
+    """A connection that records whether it broke, and is not reused if stale or after unexpected data.
+
+    stale_at: monotonic seconds.
+    """
 
     broken = False
     stale_at = float("inf")
 
     def set_keep_alive(self, keep_alive: str) -> None:
-        """Take in how long the endpoint keeps the connection when idle, counted from its last answer."""
+        """Apply the Keep-Alive header of a response that was just received."""
         found = KEEP_ALIVE_PATTERN.search(keep_alive)
         if found is not None:
             self.stale_at = monotonic() + int(found.group(1)) * KEEP_ALIVE_SHARE
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Remember how the connection ended."""
+        """Record whether the connection ended with an error."""
         self.broken = exc is not None
         super().connection_lost(exc)
 
     def is_connected(self) -> bool:
-        """Tell whether the connection can be used: bytes that came unasked spoil it."""
+        """Tell whether the connection can be used."""
         if not super().is_connected():
             return False
         idle = self._payload is None or self._payload.is_eof()
@@ -73,18 +75,18 @@
 
 @dataclass
 class PendingSend:
-    """One request on its way. `allow` is asked at the last moment before its bytes can leave."""
+    """A request to send. may_send: called right before its first bytes are written."""
 
     may_send: Callable[[], bool]
     protocol: CheckedProtocol | None = None
 
 
-PENDING_SEND: ContextVar[PendingSend | None] = ContextVar("sending", default=None)
-"""The request that the current task sends."""
+PENDING_SEND: ContextVar[PendingSend | None] = ContextVar("pending_send", default=None)
+"""The request that the current task is sending."""
 
 
 class CheckedConnector(TCPConnector):
-    """Opens checked connections, and asks before each use whether the request may still go."""
+    """Opens checked connections, and checks before each use that the request may still be sent."""
 
     def __init__(self, **options: Any) -> None:
         super().__init__(**options)
@@ -92,14 +94,14 @@
         self._factory = factory
 
     async def connect(self, *args: Any, **options: Any) -> Connection:
-        """Return a connection for the request that the current task sends."""
+        """Return a connection for the pending request of the current task."""
         connection = await super().connect(*args, **options)
         pending = PENDING_SEND.get()
         if pending is None:
             return connection
         if not pending.may_send():
             connection.close()
-            raise SendRefused("the request may not be sent any more")
+            raise SendRefused("the request may no longer be sent")
         protocol = connection.protocol
         assert isinstance(protocol, CheckedProtocol)
         pending.protocol = protocol
@@ -107,7 +109,7 @@
 
 
 def open_session(connect_s: float = CONNECT_TIMEOUT_S, idle_s: float = IDLE_TIMEOUT_S) -> ClientSession:
-    """Return a session without cookies, redirects or decoding, whose dead connections end soon."""
+    """Return a session without cookies and decompression that detects dead connections quickly."""
     connector = CheckedConnector(limit=0, keepalive_timeout=idle_s, socket_factory=_open_socket)
     return ClientSession(
         connector=connector,
--- a/stairquay/platform/endpoints.py
+++ b/stairquay/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""Callers' requests on their way to endpoints, and the endpoints' answers."""
+"""Sends callers' requests to endpoints, and validates the responses."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -34,7 +34,7 @@
 from stairquay.serving.ports import BrokenAnswer, Guard, Reply, SendFailure
 
 NO_ADDRESS = "-"
-"""Stands for a part that is neither fetched nor saved."""
+"""Placeholder for a part that is not fetched or not saved."""
 
 HTTP_MISDIRECTED = 421
 STREAM_TYPE = "text/event-stream"
@@ -49,10 +49,10 @@
     async def send(
         self, call: Call, body: bytes, dispatch: Dispatch, attempt: Attempt, guard: Guard, wait_s: float
     ) -> Result[Reply, SendFailure]:
-        """Send a request, and return the answer's head, or why there is none."""
+        """Send a request and return its response, body not read yet, or the reason of the failure."""
 
         def may_send() -> bool:
-            # The library may want to send a request once more by itself: that is never allowed.
+            # aiohttp may retry on its own; the state of the attempt prevents a second send.
             return guard() and attempt.state == AttemptState.PLANNED and attempt.send()
 
         pending = PendingSend(may_send)
@@ -120,14 +120,14 @@
 def _validate_response(
     call: Call, response: ClientResponse, attempt: Attempt, protocol: CheckedProtocol | None
 ) -> Result[Reply, SendFailure]:
-    """Return the answer if it belongs to this request and counts."""
+    """Return the response if it belongs to this request and was signed by an endpoint."""
     status = response.status
     if NOT_RUN in response.headers or status == HTTP_MISDIRECTED:
         response.close()
         attempt.refuse()
         misdirected = status == HTTP_MISDIRECTED
         detail = f"refused with {status}"
-        # The endpoint that a request was misdirected to speaks of itself.
+        # A misdirected request was answered by another endpoint, whose feedback does not apply here.
         feedback = None if misdirected else parse_feedback(response.headers, status)
         return Err(
             SendFailure(ErrorKind.ENDPOINT_REFUSED, attempt.ran, detail, status, misdirected, said=feedback)
@@ -166,9 +166,9 @@
 
 
 async def _body_chunks(response: ClientResponse, protocol: CheckedProtocol | None) -> AsyncIterator[bytes]:
-    """Yield the body as it arrives.
+    """Yield the body as it arrives; raise an error if it is incomplete.
 
-    A body without a length ends with its connection; the library takes a reset for such an end too.
+    aiohttp takes a connection reset for the end of a body without a length, so that is checked here.
     """
     framed = response.content_length is not None or "chunked" in response.headers.get("Transfer-Encoding", "")
     try:
