--- a/stairquay/platform/clients.py
+++ b/stairquay/platform/clients.py
@@ -1,4 +1,4 @@
-"""All of the platform's dialect, put together as the ports of the one-process program."""
+"""Creates all of the platform's clients, as the ports of the one-process program."""
 
 from stairquay.platform.callers import PlatformCallerCodec
 from stairquay.platform.connections import open_session
@@ -11,7 +11,7 @@
 
 
 def open_clients(table_address: str) -> Surroundings:
-    """Open the clients; a loop must be running."""
+    """Open the clients; an event loop must be running."""
     request_session = open_session()
     control_session = open_session()
     table = TableClient(table_address, control_session)
--- a/stairquay/platform/feeds.py
+++ b/stairquay/platform/feeds.py
@@ -1,7 +1,6 @@
-"""What operators and endpoints write into the table service, decoded into our own types.
+"""Decodes what operators and endpoints write to the table service.
 
-An entry may come from another writer: with fields that are missing or of another type, a state that has no
-meaning here, or bytes that are no text. Such a one names no endpoint, and the others hold.
+Entries are not trusted to be valid: a malformed one is reported and skipped, and the others apply.
 """
 
 from ipaddress import AddressValueError, IPv4Address
@@ -37,26 +36,26 @@
 from stairquay.serving.ports import EndpointChanges, FeedFault, OperatorChanges
 
 BYTES_PER_MEGABIT = 125_000.0
-"""Bytes in a million bits."""
+"""Bytes in one megabit."""
 
 MAX_COLD_S = 60.0
-"""Longest time for which an entry may call its endpoint cold: starts take seconds."""
+"""Maximum seconds for which an entry may declare its endpoint cold."""
 
 MAX_PORT = 65_535
 
 DECODE_ERRORS = (msgspec.MsgspecError, ValueError)
-"""What decoding a row raises whose bytes or fields are not as promised."""
+"""Exceptions raised on decoding a malformed row."""
 
 
 class WireSplit(msgspec.Struct):
-    """A share of a route."""
+    """A service that gets a share of a route's requests."""
 
     service: str
     weight: float = 1.0
 
 
 class WireRoute(msgspec.Struct):
-    """A route. `kind` says whether it may be repeated or is a stream; `public` needs no key."""
+    """A route. kind: whether it is repeatable or streamed. public: no key needed."""
 
     name: str
     host: str
@@ -75,7 +74,7 @@
 
 
 class WireEngine(msgspec.Struct):
-    """The engines of a service. `max_concurrency` bounds the callers that follow events."""
+    """The engines of a service. max_concurrency: clients that may follow an engine's events."""
 
     slots: int = 1
     kv_capacity_tokens: int = 0
@@ -86,8 +85,11 @@
 
 
 class WireService(msgspec.Struct):
-    """A service, or a store box where `kv_store_addr` is given. An endpoint that is cold, as all are for
-    `cold_start_s`, takes `cold_per_s` requests a second; 0 for as many as ever."""
+    """A service, or a store box if kv_store_addr is set.
+
+    cold_start_s: seconds for which endpoints are cold after a start. cold_per_s: rate limit of cold ones in
+    requests per second, 0 for none.
+    """
 
     name: str
     max_connections: int = 100
@@ -104,7 +106,7 @@
 
 
 class WireWorkspace(msgspec.Struct):
-    """A workspace. `isolated`: it shares no kept context."""
+    """A workspace. isolated: it shares no cached context with others."""
 
     name: str
     api_keys: list[str] = []
@@ -114,13 +116,13 @@
 
 
 class WireLimits(msgspec.Struct):
-    """Bounds on callers."""
+    """Limits on callers' requests."""
 
     max_body_bytes: int = 4_194_304
 
 
 class WireConfig(msgspec.Struct):
-    """The whole configuration. Without `tenants`, no request needs a key."""
+    """The whole configuration. Without tenants, no request needs a key."""
 
     version: int
     routes: list[WireRoute] = []
@@ -130,15 +132,17 @@
 
 
 class WireVersion(msgspec.Struct):
-    """Newly named weights."""
+    """The target version of a model's weights."""
 
     model: str
     version: int
 
 
 class WireEndpoint(msgspec.Struct):
-    """An endpoint's own entry in the list; its id is the row's key. `born`: Unix milliseconds of its start;
-    `sequence` rises with each entry until the next start."""
+    """An endpoint's entry in the list, under its id.
+
+    born: start in Unix milliseconds. sequence: rises with each entry of one start.
+    """
 
     service: str
     address: str
@@ -152,20 +156,20 @@
 
 
 class Feeds:
-    """Follows operators' rows and the list of endpoints."""
+    """Reads and follows operators' rows and the list of endpoints."""
 
     def __init__(self, client: TableClient) -> None:
         self.client = client
 
     async def read_operators(self) -> Result[OperatorChanges, FeedFault]:
-        """Read the configuration and the named versions."""
+        """Read the configuration, target versions and evacuations."""
         found = await self.client.rows(OPERATOR_TABLE)
         if isinstance(found, Err):
             return Err(FeedFault.UNREACHED)
         return Ok(operator_changes(found.ok_value, whole=True))
 
     async def follow_operators(self, after: int, wait_s: float) -> Result[OperatorChanges, FeedFault]:
-        """Wait for changes after a revision."""
+        """Long-poll for changes after a revision."""
         found = await self.client.feed(OPERATOR_TABLE, after, wait_s)
         return found.map(lambda rows: operator_changes(rows, whole=False))
 
@@ -177,14 +181,16 @@
         return Ok(endpoint_changes(found.ok_value, whole=True))
 
     async def follow_endpoints(self, after: int, wait_s: float) -> Result[EndpointChanges, FeedFault]:
-        """Wait for changes of the list after a revision."""
+        """Long-poll for changes of the list after a revision."""
         found = await self.client.feed(ENDPOINT_TABLE, after, wait_s)
         return found.map(lambda rows: endpoint_changes(rows, whole=False))
 
 
 def operator_changes(rows: WireRows, whole: bool) -> OperatorChanges:
-    """Decode operators' rows. A configuration that cannot be read is told, and changes nothing. A row's key
-    alone asks to evacuate a data hall."""
+    """Decode operators' rows; malformed ones are reported and change nothing.
+
+    An evacuation takes effect whatever the value of its row. whole: rows holds the complete table.
+    """
     catalog: Catalog | None = None
     unreadable = ""
     versions: dict[str, int] = {}
@@ -216,7 +222,7 @@
 
 
 def endpoint_changes(rows: WireRows, whole: bool) -> EndpointChanges:
-    """Decode entries of the list. One that cannot be read names no endpoint, also where its id had one."""
+    """Decode entries of the list; an endpoint whose entry is malformed counts as removed."""
     present = []
     gone = []
     unreadable: dict[str, str] = {}
@@ -234,12 +240,14 @@
 
 
 def _decode_endpoint(row: WireRow, text: str) -> Endpoint:
-    """Decode an entry; raises one of UNREADABLE where it names no endpoint to use."""
+    """Decode an entry; raises one of DECODE_ERRORS if it is malformed."""
     entry = msgspec.json.decode(text, type=WireEndpoint)
     if entry.state not in (STATE_READY, STATE_DRAINING):
-        raise ValueError(f"state {entry.state!r}")
+        raise ValueError(f"unknown state {entry.state!r}")
     if entry.born < 0 or entry.sequence < 0 or entry.slots < 1:
-        raise ValueError("a count below its least value")
+        raise ValueError(
+            f"expected born, sequence >= 0 and slots >= 1, not {entry.born}, {entry.sequence}, {entry.slots}"
+        )
     _check_address(entry.address)
     cold_s = min(MAX_COLD_S, max(0.0, entry.cold_remaining_ms / 1000))
     return Endpoint(
@@ -258,18 +266,18 @@
 
 
 def _check_address(address: str) -> None:
-    """Raise ValueError where an address is not IP:port."""
+    """Raise ValueError if an address is not IP:port."""
     host, _, port = address.rpartition(":")
     try:
         IPv4Address(host)
     except AddressValueError as error:
-        raise ValueError(f"address {address!r}") from error
+        raise ValueError(f"expected an address as IP:port, not {address!r}") from error
     if not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"address {address!r}")
+        raise ValueError(f"expected an address as IP:port, not {address!r}")
 
 
 def decode_catalog(text: str) -> Catalog:
-    """Decode the configuration; raises msgspec.MsgspecError where it cannot be read."""
+    """Decode the configuration; raises msgspec.MsgspecError if it is malformed."""
     config = msgspec.json.decode(text, type=WireConfig)
     workspaces = config.tenants or []
     return Catalog(
@@ -291,7 +299,7 @@
 
 
 def _region_restricted_names(routes: list[WireRoute], workspaces: list[WireWorkspace]) -> tuple[str, ...]:
-    """Return the names of routes and workspaces that are to be served in some regions only."""
+    """Return the names of routes and workspaces that are restricted to some regions."""
     restricted_routes = [route.name for route in routes if route.allowed_regions]
     return (*restricted_routes, *(workspace.name for workspace in workspaces if workspace.allowed_regions))
 
--- a/stairquay/platform/names.py
+++ b/stairquay/platform/names.py
@@ -1,23 +1,23 @@
-"""Names on the platform's wire: headers, paths and words."""
+"""Headers, paths, tables and values of the platform's wire protocol."""
 
 REQUEST_ID = "Request-Id"
-"""The caller's id of one request; endpoints echo it in their answers."""
+"""The caller's id of a request, which endpoints repeat in the response."""
 
 TIME_LEFT = "Deadline-Ms"
-"""Milliseconds that are left, not a point in time."""
+"""Milliseconds until the deadline, not a point in time."""
 
 SIGNATURE = "Response-Signature"
-"""Marks an answer as an endpoint's own; a success without it does not count."""
+"""Marks a response as coming from an endpoint; a success without it is invalid."""
 
 NOT_RUN = "Not-Executed"
 LIMIT = "Server-Limit"
-"""Requests a second, a decimal number, that an endpoint short of room takes from all callers together."""
+"""Rate limit of an overloaded endpoint, over all callers: requests per second as a decimal number."""
 
 LEAVING = "Server-Leaving"
-"""`1` in all answers of an endpoint that leaves."""
+"""`1` in all responses of an endpoint that is leaving."""
 
 INSTANCE = "Target-Instance"
-"""The id of the endpoint that a request is meant for; any other refuses it."""
+"""The id of the endpoint that a request is for; any other rejects it."""
 
 WORKSPACE = "Tenant"
 AUTHORIZATION = "Authorization"
@@ -26,21 +26,21 @@
 """Whole seconds after which an endpoint closes an idle connection."""
 
 RETRY_AFTER = "Retry-After"
-"""Seconds after which to come back: to a caller that we refuse, and to us where an endpoint refuses."""
+"""Seconds until a retry, from us to a refused caller or from an endpoint to us."""
 
 DATE = "Date"
 LAST_EVENT_ID = "Last-Event-Id"
 MODEL = "Model"
 TOKENS = "Token-Usage"
-"""Tokens of the prompt and most tokens of the answer, with a comma between."""
+"""Tokens of the prompt and maximum tokens of the response, separated by a comma."""
 
 PARTS = "Prompt-Prefix"
-"""The whole prompt as ID:TOKENS with commas between, in spite of its name."""
+"""The whole prompt, despite the name: its parts as ID:TOKENS, separated by commas."""
 
 PRIORITY = "Priority"
 EXPECT_VERSION = "Expect-Version"
 VERSION = "Versions"
-"""The one version of the weights that an answer was begun on."""
+"""The version of the weights that a response was started on."""
 
 SCOPE = "Cache-Salt"
 FETCH = "Kv-Fetch"
@@ -68,7 +68,7 @@
         "Kv-From",
     )
 )
-"""Request headers that only we may set: whatever a caller puts there goes no further."""
+"""Request headers that only we may set; a caller's own are dropped."""
 
 HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -86,7 +86,7 @@
         "expect",
     )
 )
-"""Headers that concern one connection only, and those that the HTTP library writes itself."""
+"""Hop-by-hop headers, and those that the HTTP library sets itself."""
 
 READY_PATH = "/-/readyz"
 REPORT_PATH = "/-/report"
@@ -102,7 +102,7 @@
 CONFIG_KEY = "config"
 VERSION_PREFIX = "version/"
 EVACUATION_PREFIX = "evacuate/"
-"""Before the name of a data hall whose endpoints are to get nothing, as long as the row stands."""
+"""Followed by the name of a data hall that gets no requests while the row exists."""
 
 ENDPOINT_TABLE = "servers"
 OWN_TABLE = "stairquay"
--- a/stairquay/platform/peers.py
+++ b/stairquay/platform/peers.py
@@ -1,4 +1,4 @@
-"""Calls to engines and store boxes besides callers' requests: state, kept context, orders."""
+"""Client for the control calls to engines and store boxes: state, cached context and orders."""
 
 import asyncio
 from typing import Any, TypeVar
@@ -23,13 +23,12 @@
 from stairquay.serving.ports import EngineReport, Kept, KeptChanges, OrderAnswer, VersionOrder
 
 RESPONSE_TIMEOUT_S = 0.5
-"""Seconds for an answer of an engine or store box, besides a wait that was asked for."""
+"""Timeout of a call in seconds, on top of the wait of a long poll."""
 
 HTTP_OK = 200
 METHOD_RETAIN = "retain"
-"""How an engine changes its weights: runs under way go on after the change. Waiting for them to end (`wait`)
-kept an engine out of work for three to six seconds instead of one and a half; cutting them off (`truncate`)
-would lose their answers."""
+"""Lets running requests continue after the engine has changed its weights. `wait` would keep the engine idle
+until they end, `truncate` would abort them."""
 
 ORDER_ANSWERS_BY_STATUS = {
     200: OrderAnswer.IN_FORCE,
@@ -40,9 +39,10 @@
 
 
 class WireReport(msgspec.Struct):
-    """State of an engine or store box. `sequence` counts orders taken, `boot_epoch` names its life.
+    """State of an engine or store box.
 
-    next_page_token is, here, the tokens of the first waiting prompt.
+    sequence: number of accepted orders. boot_epoch: identifies the incarnation. next_page_token: here, the
+    tokens of the first waiting prompt.
     """
 
     models: list[WireModel] = []
@@ -61,7 +61,10 @@
 
 
 class WireCacheEvents(msgspec.Struct):
-    """Events of a holder: [number, sign, scope, part, tokens kept now, model]."""
+    """Changes of a cache as [number, sign, scope, part, tokens cached now, model].
+
+    next_page_token: position to continue from. lost: events are missing.
+    """
 
     boot_epoch: int
     next_page_token: int
@@ -71,7 +74,10 @@
 
 
 class WireCacheSnapshot(msgspec.Struct):
-    """All parts of a holder: [scope, part, tokens, model]; partial ones are [scope, part, whole, taken]."""
+    """Contents of a cache as [scope, part, tokens, model].
+
+    partial: incomplete parts as [scope, part, total tokens, received tokens].
+    """
 
     boot_epoch: int
     next_page_token: int
@@ -83,13 +89,13 @@
 
 
 class PeerClient:
-    """Asks engines and store boxes, and gives orders."""
+    """Queries engines and store boxes, and sends orders to them."""
 
     def __init__(self, session: ClientSession) -> None:
         self.session = session
 
     async def report(self, address: str) -> EngineReport | None:
-        """Return an endpoint's state, None where it does not answer."""
+        """Return the state of an engine or store box, or None if it does not answer."""
         found = await self._get(f"http://{address}{REPORT_PATH}", WireReport, RESPONSE_TIMEOUT_S)
         if found is None:
             return None
@@ -110,7 +116,7 @@
         )
 
     async def kept_changes(self, address: str, since: int, wait_s: float) -> KeptChanges | None:
-        """Return a holder's events after a position, None where it does not answer."""
+        """Return the changes of a cache after a position, or None if its holder does not answer."""
         url = f"http://{address}{CACHE_EVENTS_PATH}?since={since}"
         found = await self._get(
             url, WireCacheEvents, wait_s + RESPONSE_TIMEOUT_S, {WAIT: str(int(wait_s * 1000))}
@@ -122,7 +128,7 @@
         return KeptChanges(found.boot_epoch, found.next_page_token, found.lost, events, clock_ms)
 
     async def kept(self, address: str) -> Kept | None:
-        """Return all that a holder keeps, None where it does not answer."""
+        """Return the contents of a cache, or None if its holder does not answer."""
         found = await self._get(f"http://{address}{CACHE_LIST_PATH}", WireCacheSnapshot, RESPONSE_TIMEOUT_S)
         if found is None:
             return None
@@ -131,13 +137,13 @@
         return Kept(found.boot_epoch, found.next_page_token, parts, partial)
 
     async def free(self, address: str, keys: tuple[PartKey, ...], life: int) -> bool:
-        """Free parts at a store box of a given life; tell whether it was done."""
+        """Free parts at one incarnation of a store box; tell whether it did."""
         body = {"parts": [list(key) for key in keys], "boot_epoch": life}
         status = await self._post(f"http://{address}{CACHE_FREE_PATH}", body, {})
         return status == HTTP_OK
 
     async def order(self, order: VersionOrder) -> OrderAnswer:
-        """Tell an engine to load weights. One that does not answer may still do it, even much later."""
+        """Order an engine to load weights. It may do so later even if it does not answer."""
         body: dict[str, Any] = {
             "op": "version",
             "model": order.model,
@@ -154,7 +160,7 @@
         return ORDER_ANSWERS_BY_STATUS.get(status, OrderAnswer.REFUSED)
 
     async def accepts(self, address: str) -> bool:
-        """Tell whether something takes connections at an address: a port that was left resets at once."""
+        """Tell whether anything accepts connections at an address."""
         host, _, port = address.rpartition(":")
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -178,7 +184,7 @@
         try:
             return msgspec.json.decode(content, type=kind)
         except msgspec.MsgspecError as error:
-            logging.warning("answer of %s cannot be read: %s", url, error)
+            logging.warning("invalid response from %s: %s", url, error)
             return None
 
     async def _post(self, url: str, body: dict[str, Any], headers: dict[str, str]) -> int | None:
--- a/stairquay/platform/rows.py
+++ b/stairquay/platform/rows.py
@@ -1,4 +1,4 @@
-"""The platform's table service over HTTP: rows, their feed, and conditional writes."""
+"""HTTP client of the platform's table service: reads, change feeds and conditional writes."""
 
 import asyncio
 from base64 import b64decode, b64encode
@@ -17,11 +17,10 @@
 from stairquay.serving.ports import FeedFault
 
 RESPONSE_TIMEOUT_S = 0.7
-"""Seconds that the table service may take for an answer, besides a wait that was asked for: an outage
-that slows it sixtyfold makes a call of 4 ms take 0.24 s and a transaction of 5 ms take 0.3 s."""
+"""Timeout of a call in seconds, on top of the wait of a long poll."""
 
 PAGE_ROWS = 500
-"""Most rows in one answer of the table service."""
+"""Rows requested per page."""
 
 HTTP_OK = 200
 HTTP_CONFLICT = 412
@@ -31,7 +30,7 @@
 
 
 class WireRow(msgspec.Struct):
-    """One row as the table service writes it. `ver` is its revision; `gone` marks a removed row."""
+    """A row. value: base64. ver: its revision. gone: the row was removed."""
 
     table: str = ""
     part: str = ""
@@ -41,14 +40,14 @@
     gone: bool = False
 
     def text(self) -> str | None:
-        """Return the value as text, None for a removed row. Raises ValueError where it is no text."""
+        """Return the value, or None for a removed row. Raises ValueError if it is not UTF-8 in base64."""
         if self.gone or self.value is None:
             return None
         return b64decode(self.value, validate=True).decode()
 
 
 class WireRows(msgspec.Struct):
-    """An answer with rows, complete up to the revision `ver`; `now_ms` is the service's steady clock."""
+    """A page of rows. ver: revision up to which it is complete. now_ms: the service's monotonic clock."""
 
     rows: list[WireRow] = []
     more: bool = False
@@ -57,7 +56,7 @@
 
 
 class TableClient:
-    """Calls to the table service. A call that gets no answer in time may still take effect."""
+    """Client of the table service. A call that times out may still take effect."""
 
     def __init__(self, address: str, session: ClientSession) -> None:
         self.url = f"http://{address}"
@@ -65,7 +64,7 @@
         self.clock_offset: ClockOffset | None = None
 
     async def rows(self, table: str, start: str = "") -> Result[WireRows, PlatformFault]:
-        """Return a table's rows from a key on, page after page, as of the first page's revision."""
+        """Read all pages of a table from a key on; the revision returned is that of the first page."""
         found: list[WireRow] = []
         revision: int | None = None
         start_at = start
@@ -83,14 +82,14 @@
             start_at = page.ok_value.rows[-1].key + "\0"
 
     async def feed(self, table: str, after: int, wait_s: float) -> Result[WireRows, FeedFault]:
-        """Wait for the rows of a table that change after a revision."""
+        """Long-poll for the rows of a table that changed after a revision."""
         query = {"table": table, "after": str(after), "wait_ms": str(int(wait_s * 1000))}
         return await self._get(FEED_PATH, query, wait_s + RESPONSE_TIMEOUT_S)
 
     async def commit(
         self, commit: Commit, table: str = OWN_TABLE
     ) -> Result[Committed | Conflict, PlatformFault]:
-        """Write all rows of a table of our own if all conditions hold."""
+        """Write all rows to one of our own tables if all conditions hold."""
         body = {
             "expected": [{**_row_id(table, item.key), "ver": item.revision} for item in commit.conditions],
             "put": [
@@ -135,7 +134,7 @@
             return Err(FeedFault.UNREACHED)
 
     def _decode(self, content: bytes, requested_at: float) -> WireRows:
-        """Read an answer with rows, and note the clock that it tells."""
+        """Decode a page of rows and update the clock offset from it."""
         found = msgspec.json.decode(content, type=WireRows)
         if found.now_ms > 0:
             measured = ClockOffset.from_exchange(found.now_ms / 1000, requested_at, monotonic())
@@ -146,18 +145,18 @@
 
 
 class OwnRows:
-    """Our own table, as the port that the lease and the list of boxes use."""
+    """Reads and writes our own table, which holds the lease and the list of boxes."""
 
     def __init__(self, client: TableClient) -> None:
         self.client = client
 
     async def get(self, key: str) -> Result[Row | None, PlatformFault]:
-        """Return a row, or None where there is none."""
+        """Return a row, or None if there is none."""
         found = await self.under(key)
         return found.map(lambda rows: next((row for row in rows if row.key == key), None))
 
     async def under(self, prefix: str) -> Result[tuple[Row, ...], PlatformFault]:
-        """Return all rows whose keys begin so."""
+        """Return all rows whose keys have a prefix."""
         found = await self.client.rows(OWN_TABLE, prefix)
         if isinstance(found, Err):
             return found
@@ -169,12 +168,12 @@
         return await self.client.commit(commit)
 
     def clock_offset(self) -> ClockOffset | None:
-        """Return the table service's steady clock less ours, None before it was heard."""
+        """Return the offset of the table service's clock, or None before the first response."""
         return self.client.clock_offset
 
 
 class FollowedRows:
-    """A table of our own that is followed."""
+    """Reads, writes and follows one of our own tables."""
 
     def __init__(self, client: TableClient, table: str) -> None:
         self.client = client
@@ -186,7 +185,7 @@
         return Err(FeedFault.UNREACHED) if isinstance(found, Err) else Ok(_changes(found.ok_value))
 
     async def follow(self, after: int, wait_s: float) -> Result[Changes, FeedFault]:
-        """Wait for rows that change after a revision."""
+        """Long-poll for rows that changed after a revision."""
         return (await self.client.feed(self.table, after, wait_s)).map(_changes)
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflict, PlatformFault]:
@@ -194,7 +193,7 @@
         return await self.client.commit(commit, self.table)
 
     def clock_offset(self) -> ClockOffset | None:
-        """Return the table service's steady clock less ours, None before it was heard."""
+        """Return the offset of the table service's clock, or None before the first response."""
         return self.client.clock_offset
 
 
@@ -203,7 +202,7 @@
 
 
 def decode_row(row: WireRow) -> Row:
-    """Return a row of our own table in our own type. Bytes that are no text give a value no reader takes."""
+    """Decode a row of our own tables; an undecodable value becomes empty, which all readers reject."""
     try:
         return Row(row.key, row.text(), row.ver)
     except ValueError:
--- a/stairquay/platform/statements.py
+++ b/stairquay/platform/statements.py
@@ -1,4 +1,4 @@
-"""What answers say of their endpoint's use, in their heads."""
+"""Parses the feedback that endpoints give in the headers of their responses."""
 
 from collections.abc import Callable
 from datetime import UTC, datetime
@@ -15,15 +15,15 @@
 Value = TypeVar("Value", bool, float)
 
 HTTP_UNAVAILABLE = 503
-"""Status of an answer that may ask for rest."""
+"""Status of a response that may ask for a back-off."""
 
 LEAVING_VALUE = "1"
 EMPTY_VALUE = "(empty)"
 
 
 def parse_feedback(headers: Headers, status: int) -> Statement:
-    """Return what an answer's head says of its endpoint. Of several limits the lowest holds, of several rests
-    the longest."""
+    """Return the feedback in the headers of a response. The lowest of several limits applies, and the longest
+    of several back-offs."""
     limit = _parse_header(headers, LIMIT, parse_decimal, min, UNLIMITED)
     leaving = _parse_header(headers, LEAVING, _parse_leaving, max, False)
     backoff_s: float | None = 0.0
@@ -49,7 +49,7 @@
     combine: Callable[[list[Value]], Value],
     default: Value,
 ) -> Value | None:
-    """Return what a header says, None where nothing in it can be read."""
+    """Return the value of a header, the default if it is absent, or None if no part of it is valid."""
     texts = headers.getall(name, [])
     if not texts:
         return default
--- a/stairquay/platform/weights.py
+++ b/stairquay/platform/weights.py
@@ -1,4 +1,4 @@
-"""Models and the versions of their weights, as operators, endpoints and engines write them."""
+"""Wire format of models and the versions of their weights."""
 
 from collections.abc import Iterable
 
@@ -6,12 +6,12 @@
 
 
 class WireModel(msgspec.Struct):
-    """A model by name, and the version of its weights; the configuration gives no version."""
+    """A model and the version of its weights, which the configuration leaves out."""
 
     name: str
     version: int = 0
 
 
 def versions_by_model(models: Iterable[WireModel]) -> dict[str, int]:
-    """Return the version of each model's weights."""
+    """Return the version of the weights by model name."""
     return {model.name: model.version for model in models}
