--- a/stairquay/platform/feeds.py
+++ b/stairquay/platform/feeds.py
@@ -36,7 +36,6 @@
 from stairquay.serving.ports import EndpointChanges, FeedFault, OperatorChanges
 
 BYTES_PER_MEGABIT = 125_000.0
-"""Bytes in one megabit."""
 
 MAX_COLD_S = 60.0
 """Maximum seconds for which an entry may declare its endpoint cold."""
--- a/stairquay/platform/statements.py
+++ b/stairquay/platform/statements.py
@@ -15,7 +15,7 @@
 Value = TypeVar("Value", bool, float)
 
 HTTP_UNAVAILABLE = 503
-"""Status of a response that may ask for a back-off."""
+"""Status of a response that may ask for a backoff."""
 
 LEAVING_VALUE = "1"
 EMPTY_VALUE = "(empty)"
@@ -23,7 +23,7 @@
 
 def parse_feedback(headers: Headers, status: int) -> Statement:
     """Return the feedback in the headers of a response. The lowest of several limits applies, and the longest
-    of several back-offs."""
+    of several backoffs."""
     limit = _parse_header(headers, LIMIT, parse_decimal, min, UNLIMITED)
     leaving = _parse_header(headers, LEAVING, _parse_leaving, max, False)
     backoff_s: float | None = 0.0
