--- a/stairquay/box.py
+++ b/stairquay/box.py
@@ -36,8 +36,8 @@
     _load_lightly()
     from stairquay.adapters.clock import run
     from stairquay.platform.boot import load_boot_settings
-    from stairquay.platform.clients import open_clients
     from stairquay.platform.names import SETTINGS_VARIABLE
+    from stairquay.platform.surroundings import open_clients
     from stairquay.serving.app import run_box
 
     _loaded()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -7,7 +7,7 @@
 
 LOAD = """
 import stairquay.box
-import stairquay.platform.boot, stairquay.platform.clients, stairquay.serving.app
+import stairquay.platform.boot, stairquay.platform.surroundings, stairquay.serving.app
 import sys
 print(*sys.modules)
 """
