--- a/stairquay/box.py
+++ b/stairquay/box.py
@@ -29,14 +29,14 @@
     """Run a box until it is stopped, with the settings at `path` or at the path that the platform sets."""
     _reduce_import_cost()
     from stairquay.adapters.clock import run
-    from stairquay.platform.boot import load_boot
+    from stairquay.platform.boot import load_boot_settings
     from stairquay.platform.names import SETTINGS_VARIABLE
-    from stairquay.platform.surroundings import open_surroundings
+    from stairquay.platform.surroundings import open_clients
     from stairquay.serving.app import run_box
 
     _resume_garbage_collection()
     settings_path = path or Path(env.variables.get(SETTINGS_VARIABLE, ""))
-    boot = load_boot(settings_path, metrics_port)
+    boot = load_boot_settings(settings_path, metrics_port)
     if isinstance(boot, Err):
         for mistake in boot.err_value:
             env.write_error(f"{settings_path}: {mistake}")
@@ -46,8 +46,8 @@
     run(
         run_box(
             boot.ok_value.settings,
-            lambda: load_boot(settings_path, metrics_port).map(lambda reloaded: reloaded.settings),
-            lambda: open_surroundings(table_address),
+            lambda: load_boot_settings(settings_path, metrics_port).map(lambda reloaded: reloaded.settings),
+            lambda: open_clients(table_address),
         )
     )
     return ExitStatus.SUCCESS
--- a/stairquay/platform/connections.py
+++ b/stairquay/platform/connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that are safe to use again, and that tell how they ended."""
+"""HTTP connections with safe reuse: stale ones are dropped, and resets are told from regular closes."""
 
 import asyncio
 import re
@@ -15,56 +15,58 @@
 
 from stairquay.adapters.clock import monotonic
 
-CONNECT_S = 0.4
-"""Seconds to open a connection: data halls are a millisecond apart, and a dead box says nothing."""
+CONNECT_TIMEOUT_S = 0.4
+"""Timeout of opening a connection, in seconds."""
 
-IDLE_S = 12.0
-"""Seconds for which an idle connection is kept where its endpoint does not say how long it does. With 4, a
-fifth more connections were opened."""
+IDLE_TIMEOUT_S = 12.0
+"""Seconds for which an idle connection is kept if the endpoint sends no Keep-Alive header."""
 
 KEEP_ALIVE_SHARE = 0.8
-"""Share of an endpoint's own time for idle connections within which one is used again: a request that
-crosses the close may have run or not."""
+"""Share of an endpoint's Keep-Alive time within which an idle connection is reused. The margin avoids sending
+a request while the endpoint closes, after which it is unknown whether it ran."""
 
-SILENT_MS = 1_500
-"""Milliseconds after which bytes that nobody acknowledged end a connection."""
+TCP_USER_TIMEOUT_MS = 1_500
+"""Milliseconds for which sent data may stay unacknowledged before the connection is closed."""
 
-PROBE_AFTER_S = 1
-"""Seconds without bytes after which a connection is probed, and between two probes."""
+KEEPALIVE_INTERVAL_S = 1
+"""Seconds before the first keepalive probe of an idle connection, and between probes."""
 
-PROBES = 2
-"""Probes without an answer after which a connection ends."""
+MAX_KEEPALIVE_PROBES = 2
+"""Unanswered keepalive probes after which a connection is closed."""
 
-KEEP_ALIVE = re.compile(r"(?:timeout=|^\s*)(\d{1,6})")
-"""The header's whole seconds, with or without the name that HTTP gives them."""
+KEEP_ALIVE_PATTERN = re.compile(r"(?:timeout=|^\s*)(\d{1,6})")
+"""Matches the seconds of a Keep-Alive header, with or without `timeout=`."""
 
 MAX_FIELD_BYTES = 32_768
-"""Longest header field and first line of an endpoint's answer."""
+"""Maximum size of a header field and of the status line of a response."""
 
 
 class SendRefused(ClientError):
-    """The request must not be sent any more."""
+    """The request must not be sent any more, so no bytes of it were."""
 
 
 class CheckedProtocol(ResponseHandler):
-    """A connection that remembers whether it broke, and is not used again after surplus bytes."""
+    """A connection that records whether it broke, and is not reused if stale or after unexpected data.
 
-    broke = False
+    stale_at: monotonic seconds.
+    """
+
+    broken = False
     stale_at = float("inf")
 
-    def keep_until(self, keep_alive: str) -> None:
-        """Take in how long the endpoint keeps the connection when idle, counted from its last answer."""
-        found = KEEP_ALIVE.search(keep_alive)
+    def set_keep_alive(self, keep_alive: str) -> None:
+        """Apply the Keep-Alive header of a response that was just received."""
+        found = KEEP_ALIVE_PATTERN.search(keep_alive)
         if found is not None:
             self.stale_at = monotonic() + int(found.group(1)) * KEEP_ALIVE_SHARE
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Remember how the connection ended."""
-        self.broke = exc is not None
+        """Record whether the connection ended with an error."""
+        self.broken = exc is not None
         super().connection_lost(exc)
 
     def is_connected(self) -> bool:
-        """Tell whether the connection can be used: bytes that came unasked spoil it."""
+        """Tell whether the connection can be used."""
         if not super().is_connected():
             return False
         idle = self._payload is None or self._payload.is_eof()
@@ -72,19 +74,19 @@
 
 
 @dataclass
-class Sending:
-    """One request on its way. `allow` is asked at the last moment before its bytes can leave."""
+class PendingSend:
+    """A request to send. may_send: called right before its first bytes are written."""
 
-    allow: Callable[[], bool]
+    may_send: Callable[[], bool]
     protocol: CheckedProtocol | None = None
 
 
-SENDING: ContextVar[Sending | None] = ContextVar("sending", default=None)
-"""The request that the current task sends."""
+PENDING_SEND: ContextVar[PendingSend | None] = ContextVar("pending_send", default=None)
+"""The request that the current task is sending."""
 
 
 class CheckedConnector(TCPConnector):
-    """Opens checked connections, and asks before each use whether the request may still go."""
+    """Opens checked connections, and checks before each use that the request may still be sent."""
 
     def __init__(self, **options: Any) -> None:
         super().__init__(**options)
@@ -92,23 +94,23 @@
         self._factory = factory
 
     async def connect(self, *args: Any, **options: Any) -> Connection:
-        """Return a connection for the request that the current task sends."""
+        """Return a connection for the pending request of the current task."""
         connection = await super().connect(*args, **options)
-        sending = SENDING.get()
-        if sending is None:
+        pending = PENDING_SEND.get()
+        if pending is None:
             return connection
-        if not sending.allow():
+        if not pending.may_send():
             connection.close()
-            raise SendRefused("the request may not be sent any more")
+            raise SendRefused("the request may no longer be sent")
         protocol = connection.protocol
         assert isinstance(protocol, CheckedProtocol)
-        sending.protocol = protocol
+        pending.protocol = protocol
         return connection
 
 
-def open_session(connect_s: float = CONNECT_S, idle_s: float = IDLE_S) -> ClientSession:
-    """Return a session without cookies, redirects or decoding, whose dead connections end soon."""
-    connector = CheckedConnector(limit=0, keepalive_timeout=idle_s, socket_factory=_socket)
+def open_session(connect_s: float = CONNECT_TIMEOUT_S, idle_s: float = IDLE_TIMEOUT_S) -> ClientSession:
+    """Return a session without cookies and decompression that detects dead connections quickly."""
+    connector = CheckedConnector(limit=0, keepalive_timeout=idle_s, socket_factory=_open_socket)
     return ClientSession(
         connector=connector,
         cookie_jar=DummyCookieJar(),
@@ -120,13 +122,13 @@
     )
 
 
-def _socket(address: tuple[Any, ...]) -> socket.socket:
+def _open_socket(address: tuple[Any, ...]) -> socket.socket:
     family, kind, protocol = address[0], address[1], address[2]
-    made = socket.socket(family, kind, protocol)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_AFTER_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    return made
+    opened = socket.socket(family, kind, protocol)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+    opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_KEEPALIVE_PROBES)
+    return opened
--- a/stairquay/platform/endpoints.py
+++ b/stairquay/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""Callers' requests on their way to endpoints, and the endpoints' answers."""
+"""Sends callers' requests to endpoints, and validates the responses."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,15 +11,15 @@
 from stairquay.core.attempt import Attempt, AttemptState
 from stairquay.core.call import Call, Dispatch
 from stairquay.core.errors import ErrorKind, ExecutionStatus
-from stairquay.platform.connections import SENDING, CheckedProtocol, Sending, SendRefused
+from stairquay.platform.connections import PENDING_SEND, CheckedProtocol, PendingSend, SendRefused
 from stairquay.platform.names import (
-    CHANNEL_ONLY,
     EXPECT_VERSION,
     FETCH,
     FETCH_UNTIL,
+    HOP_BY_HOP_HEADERS,
     INSTANCE,
     KEEP_ALIVE,
-    LAST_EVENT,
+    LAST_EVENT_ID,
     NOT_RUN,
     PRIORITY,
     REQUEST_ID,
@@ -30,11 +30,11 @@
     VERSION,
     WORKSPACE,
 )
-from stairquay.platform.statements import statement
+from stairquay.platform.statements import parse_feedback
 from stairquay.serving.ports import BrokenAnswer, Guard, Reply, SendFailure
 
-NOWHERE = "-"
-"""Stands for a part that is neither fetched nor saved."""
+NO_ADDRESS = "-"
+"""Placeholder for a part that is not fetched or not saved."""
 
 HTTP_MISDIRECTED = 421
 STREAM_TYPE = "text/event-stream"
@@ -49,20 +49,20 @@
     async def send(
         self, call: Call, body: bytes, dispatch: Dispatch, attempt: Attempt, guard: Guard, wait_s: float
     ) -> Result[Reply, SendFailure]:
-        """Send a request, and return the answer's head, or why there is none."""
+        """Send a request and return its response, body not read yet, or the reason of the failure."""
 
-        def allow() -> bool:
-            # The library may want to send a request once more by itself: that is never allowed.
+        def may_send() -> bool:
+            # aiohttp may retry on its own; the state of the attempt prevents a second send.
             return guard() and attempt.state == AttemptState.PLANNED and attempt.send()
 
-        sending = Sending(allow)
-        token = SENDING.set(sending)
+        pending = PendingSend(may_send)
+        token = PENDING_SEND.set(pending)
         try:
             async with asyncio.timeout(wait_s):
                 response = await self.session.request(
                     call.method,
                     URL(f"http://{dispatch.address}{call.target}", encoded=True),
-                    headers=_headers(call, dispatch),
+                    headers=_request_headers(call, dispatch),
                     data=body or None,
                     allow_redirects=False,
                 )
@@ -83,13 +83,13 @@
                 )
             )
         finally:
-            SENDING.reset(token)
-        if sending.protocol is not None:
-            sending.protocol.keep_until(response.headers.get(KEEP_ALIVE, ""))
-        return _judge(call, response, attempt, sending.protocol)
+            PENDING_SEND.reset(token)
+        if pending.protocol is not None:
+            pending.protocol.set_keep_alive(response.headers.get(KEEP_ALIVE, ""))
+        return _validate_response(call, response, attempt, pending.protocol)
 
 
-def _headers(call: Call, dispatch: Dispatch) -> CIMultiDict[str]:
+def _request_headers(call: Call, dispatch: Dispatch) -> CIMultiDict[str]:
     headers = CIMultiDict(call.headers)
     headers["Host"] = call.host
     headers[TIME_LEFT] = str(max(1, int(dispatch.time_left_s * 1000)))
@@ -109,28 +109,28 @@
     if any(dispatch.save_to):
         headers[SAVE] = _addresses(dispatch.save_to)
     if dispatch.resume_after is not None:
-        headers[LAST_EVENT] = dispatch.resume_after
+        headers[LAST_EVENT_ID] = dispatch.resume_after
     return headers
 
 
 def _addresses(by_part: tuple[str, ...]) -> str:
-    return ",".join(address or NOWHERE for address in by_part)
+    return ",".join(address or NO_ADDRESS for address in by_part)
 
 
-def _judge(
+def _validate_response(
     call: Call, response: ClientResponse, attempt: Attempt, protocol: CheckedProtocol | None
 ) -> Result[Reply, SendFailure]:
-    """Return the answer if it belongs to this request and counts."""
+    """Return the response if it belongs to this request and was signed by an endpoint."""
     status = response.status
     if NOT_RUN in response.headers or status == HTTP_MISDIRECTED:
         response.close()
         attempt.refuse()
         misdirected = status == HTTP_MISDIRECTED
         detail = f"refused with {status}"
-        # The endpoint that a request was misdirected to speaks of itself.
-        said = None if misdirected else statement(response.headers, status)
+        # A misdirected request was answered by another endpoint, whose feedback does not apply here.
+        feedback = None if misdirected else parse_feedback(response.headers, status)
         return Err(
-            SendFailure(ErrorKind.ENDPOINT_REFUSED, attempt.ran, detail, status, misdirected, said=said)
+            SendFailure(ErrorKind.ENDPOINT_REFUSED, attempt.ran, detail, status, misdirected, said=feedback)
         )
     if response.headers.get(REQUEST_ID) != call.id:
         response.close()
@@ -149,26 +149,26 @@
     return Ok(
         Reply(
             status=status,
-            headers=_passed_back(response),
-            chunks=lambda: _chunks(response, protocol),
+            headers=_response_headers(response),
+            chunks=lambda: _body_chunks(response, protocol),
             close=response.close,
             streamed=response.content_type == STREAM_TYPE,
             version=int(version) if version.isdecimal() else None,
-            said=statement(response.headers, status),
+            said=parse_feedback(response.headers, status),
         )
     )
 
 
-def _passed_back(response: ClientResponse) -> tuple[tuple[str, str], ...]:
-    named = {item.strip().lower() for item in response.headers.get("Connection", "").split(",")}
-    dropped = (CHANNEL_ONLY | named) - {SIGNATURE.lower(), REQUEST_ID.lower()}
+def _response_headers(response: ClientResponse) -> tuple[tuple[str, str], ...]:
+    connection_options = {item.strip().lower() for item in response.headers.get("Connection", "").split(",")}
+    dropped = (HOP_BY_HOP_HEADERS | connection_options) - {SIGNATURE.lower(), REQUEST_ID.lower()}
     return tuple((name, value) for name, value in response.headers.items() if name.lower() not in dropped)
 
 
-async def _chunks(response: ClientResponse, protocol: CheckedProtocol | None) -> AsyncIterator[bytes]:
-    """Yield the body as it arrives.
+async def _body_chunks(response: ClientResponse, protocol: CheckedProtocol | None) -> AsyncIterator[bytes]:
+    """Yield the body as it arrives; raise an error if it is incomplete.
 
-    A body without a length ends with its connection; the library takes a reset for such an end too.
+    aiohttp takes a connection reset for the end of a body without a length, so that is checked here.
     """
     framed = response.content_length is not None or "chunked" in response.headers.get("Transfer-Encoding", "")
     try:
@@ -176,5 +176,5 @@
             yield chunk
     except (ClientError, OSError) as error:
         raise BrokenAnswer(type(error).__name__) from error
-    if not framed and (protocol is None or protocol.broke):
+    if not framed and (protocol is None or protocol.broken):
         raise BrokenAnswer("the connection was reset")
--- a/stairquay/platform/peers.py
+++ b/stairquay/platform/peers.py
@@ -1,4 +1,4 @@
-"""Calls to engines and store boxes besides callers' requests: state, kept context, orders."""
+"""Client for the control calls to engines and store boxes: state, cached context and orders."""
 
 import asyncio
 from typing import Any, TypeVar
@@ -8,12 +8,12 @@
 from aiohttp import ClientError, ClientSession
 
 from stairquay.core.holdings import PartEvent, PartKey
-from stairquay.platform.connections import CONNECT_S
+from stairquay.platform.connections import CONNECT_TIMEOUT_S
 from stairquay.platform.names import (
-    FREE_PATH,
+    CACHE_EVENTS_PATH,
+    CACHE_FREE_PATH,
+    CACHE_LIST_PATH,
     INSTANCE,
-    KEPT_EVENTS_PATH,
-    KEPT_LIST_PATH,
     ORDER_PATH,
     REPORT_PATH,
     STATE_DRAINING,
@@ -22,16 +22,15 @@
 from stairquay.platform.weights import WireModel, versions_by_model
 from stairquay.serving.ports import EngineReport, Kept, KeptChanges, OrderAnswer, VersionOrder
 
-ANSWER_S = 0.5
-"""Seconds for an answer of an engine or store box, besides a wait that was asked for."""
+RESPONSE_TIMEOUT_S = 0.5
+"""Timeout of a call in seconds, on top of the wait of a long poll."""
 
 HTTP_OK = 200
 METHOD_RETAIN = "retain"
-"""How an engine changes its weights: runs under way go on after the change. Waiting for them to end (`wait`)
-kept an engine out of work for three to six seconds instead of one and a half; cutting them off (`truncate`)
-would lose their answers."""
+"""Lets running requests continue after the engine has changed its weights. `wait` would keep the engine idle
+until they end, `truncate` would abort them."""
 
-ORDER_ANSWERS = {
+ORDER_ANSWERS_BY_STATUS = {
     200: OrderAnswer.IN_FORCE,
     202: OrderAnswer.UNDER_WAY,
     409: OrderAnswer.CONFLICT,
@@ -40,9 +39,10 @@
 
 
 class WireReport(msgspec.Struct):
-    """State of an engine or store box. `sequence` counts orders taken, `boot_epoch` names its life.
+    """State of an engine or store box.
 
-    next_page_token is, here, the tokens of the first waiting prompt.
+    sequence: number of accepted orders. boot_epoch: identifies the incarnation. next_page_token: here, the
+    tokens of the first waiting prompt.
     """
 
     models: list[WireModel] = []
@@ -60,8 +60,11 @@
     cold_remaining_ms: float | None = None
 
 
-class WireEvents(msgspec.Struct):
-    """Events of a holder: [number, sign, scope, part, tokens kept now, model]."""
+class WireCacheEvents(msgspec.Struct):
+    """Changes of a cache as [number, sign, scope, part, tokens cached now, model].
+
+    next_page_token: position to continue from. lost: events are missing.
+    """
 
     boot_epoch: int
     next_page_token: int
@@ -70,8 +73,11 @@
     clock_ms: float | None = None
 
 
-class WireKept(msgspec.Struct):
-    """All parts of a holder: [scope, part, tokens, model]; partial ones are [scope, part, whole, taken]."""
+class WireCacheSnapshot(msgspec.Struct):
+    """Contents of a cache as [scope, part, tokens, model].
+
+    partial: incomplete parts as [scope, part, total tokens, received tokens].
+    """
 
     boot_epoch: int
     next_page_token: int
@@ -83,14 +89,14 @@
 
 
 class PeerClient:
-    """Asks engines and store boxes, and gives orders."""
+    """Queries engines and store boxes, and sends orders to them."""
 
     def __init__(self, session: ClientSession) -> None:
         self.session = session
 
     async def report(self, address: str) -> EngineReport | None:
-        """Return an endpoint's state, None where it does not answer."""
-        found = await self._get(f"http://{address}{REPORT_PATH}", WireReport, ANSWER_S)
+        """Return the state of an engine or store box, or None if it does not answer."""
+        found = await self._get(f"http://{address}{REPORT_PATH}", WireReport, RESPONSE_TIMEOUT_S)
         if found is None:
             return None
         return EngineReport(
@@ -110,9 +116,11 @@
         )
 
     async def kept_changes(self, address: str, since: int, wait_s: float) -> KeptChanges | None:
-        """Return a holder's events after a position, None where it does not answer."""
-        url = f"http://{address}{KEPT_EVENTS_PATH}?since={since}"
-        found = await self._get(url, WireEvents, wait_s + ANSWER_S, {WAIT: str(int(wait_s * 1000))})
+        """Return the changes of a cache after a position, or None if its holder does not answer."""
+        url = f"http://{address}{CACHE_EVENTS_PATH}?since={since}"
+        found = await self._get(
+            url, WireCacheEvents, wait_s + RESPONSE_TIMEOUT_S, {WAIT: str(int(wait_s * 1000))}
+        )
         if found is None:
             return None
         events = tuple(PartEvent(item[0], item[2] or "", item[3], item[4]) for item in found.events)
@@ -120,8 +128,8 @@
         return KeptChanges(found.boot_epoch, found.next_page_token, found.lost, events, clock_ms)
 
     async def kept(self, address: str) -> Kept | None:
-        """Return all that a holder keeps, None where it does not answer."""
-        found = await self._get(f"http://{address}{KEPT_LIST_PATH}", WireKept, ANSWER_S)
+        """Return the contents of a cache, or None if its holder does not answer."""
+        found = await self._get(f"http://{address}{CACHE_LIST_PATH}", WireCacheSnapshot, RESPONSE_TIMEOUT_S)
         if found is None:
             return None
         parts = tuple(((item[0] or "", item[1]), item[2]) for item in found.held)
@@ -129,13 +137,13 @@
         return Kept(found.boot_epoch, found.next_page_token, parts, partial)
 
     async def free(self, address: str, keys: tuple[PartKey, ...], life: int) -> bool:
-        """Free parts at a store box of a given life; tell whether it was done."""
+        """Free parts at one incarnation of a store box; tell whether it did."""
         body = {"parts": [list(key) for key in keys], "boot_epoch": life}
-        status = await self._post(f"http://{address}{FREE_PATH}", body, {})
+        status = await self._post(f"http://{address}{CACHE_FREE_PATH}", body, {})
         return status == HTTP_OK
 
     async def order(self, order: VersionOrder) -> OrderAnswer:
-        """Tell an engine to load weights. One that does not answer may still do it, even much later."""
+        """Order an engine to load weights. It may do so later even if it does not answer."""
         body: dict[str, Any] = {
             "op": "version",
             "model": order.model,
@@ -149,13 +157,13 @@
         status = await self._post(f"http://{order.address}{ORDER_PATH}", body, {INSTANCE: order.endpoint})
         if status is None:
             return OrderAnswer.SILENT
-        return ORDER_ANSWERS.get(status, OrderAnswer.REFUSED)
+        return ORDER_ANSWERS_BY_STATUS.get(status, OrderAnswer.REFUSED)
 
     async def accepts(self, address: str) -> bool:
-        """Tell whether something takes connections at an address: a port that was left resets at once."""
+        """Tell whether anything accepts connections at an address."""
         host, _, port = address.rpartition(":")
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(host, int(port))
         except (OSError, TimeoutError):
             return False
@@ -163,10 +171,10 @@
         return True
 
     async def _get(
-        self, url: str, kind: type[T], limit_s: float, headers: dict[str, str] | None = None
+        self, url: str, kind: type[T], timeout_s: float, headers: dict[str, str] | None = None
     ) -> T | None:
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 async with self.session.get(url, headers=headers) as response:
                     content = await response.read()
         except (ClientError, TimeoutError, OSError):
@@ -176,12 +184,12 @@
         try:
             return msgspec.json.decode(content, type=kind)
         except msgspec.MsgspecError as error:
-            logging.warning("answer of %s cannot be read: %s", url, error)
+            logging.warning("invalid response from %s: %s", url, error)
             return None
 
     async def _post(self, url: str, body: dict[str, Any], headers: dict[str, str]) -> int | None:
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 async with self.session.post(url, json=body, headers=headers) as response:
                     await response.read()
                     return response.status
--- a/stairquay/platform/surroundings.py
+++ b/stairquay/platform/surroundings.py
@@ -1,6 +1,6 @@
-"""All of the platform's dialect, put together as the ports of the one-process program."""
+"""Creates all of the platform's clients, as the ports of the one-process program."""
 
-from stairquay.platform.callers import CallerDialect
+from stairquay.platform.callers import PlatformCallerCodec
 from stairquay.platform.connections import open_session
 from stairquay.platform.endpoints import EndpointClient
 from stairquay.platform.feeds import Feeds
@@ -10,22 +10,22 @@
 from stairquay.serving.ports import Surroundings
 
 
-def open_surroundings(table_address: str) -> Surroundings:
-    """Open the clients; a loop must be running."""
-    forwarding = open_session()
-    asking = open_session()
-    table = TableClient(table_address, asking)
+def open_clients(table_address: str) -> Surroundings:
+    """Open the clients; an event loop must be running."""
+    request_session = open_session()
+    control_session = open_session()
+    table = TableClient(table_address, control_session)
 
     async def close() -> None:
-        await forwarding.close()
-        await asking.close()
+        await request_session.close()
+        await control_session.close()
 
     return Surroundings(
         feeds=Feeds(table),
         own=OwnRows(table),
-        peers=PeerClient(asking),
-        endpoints=EndpointClient(forwarding),
-        callers=CallerDialect(),
+        peers=PeerClient(control_session),
+        endpoints=EndpointClient(request_session),
+        callers=PlatformCallerCodec(),
         ready_path=READY_PATH,
         close=close,
         crashes=FollowedRows(table, CRASH_TABLE),
