--- a/stairquay/boxes.py
+++ b/stairquay/boxes.py
@@ -69,7 +69,7 @@
     """Read the boxes' rows and ask each box for its metrics."""
     session = open_session()
     try:
-        found = await OwnRows(TableClient(table_address, session)).under(PREFIX)
+        found = await OwnRows(TableClient(table_address, session)).list_prefix(PREFIX)
         if isinstance(found, Err):
             return Err(f"the table service at {table_address} does not answer")
         limit = asyncio.Semaphore(AT_ONCE)
--- a/stairquay/platform/endpoints.py
+++ b/stairquay/platform/endpoints.py
@@ -31,7 +31,7 @@
     WORKSPACE,
 )
 from stairquay.platform.statements import statement
-from stairquay.serving.ports import BrokenAnswer, Guard, Reply, SendFailure
+from stairquay.serving.ports import Guard, IncompleteResponseError, Reply, SendFailure
 
 NOWHERE = "-"
 """Stands for a part that is neither fetched nor saved."""
@@ -79,7 +79,7 @@
                     attempt.ran,
                     detail,
                     fault=fault,
-                    broke=attempt.ran != ExecutionStatus.NOT_RUN,
+                    connection_broken=attempt.ran != ExecutionStatus.NOT_RUN,
                 )
             )
         finally:
@@ -130,7 +130,7 @@
         # The endpoint that a request was misdirected to speaks of itself.
         said = None if misdirected else statement(response.headers, status)
         return Err(
-            SendFailure(ErrorKind.ENDPOINT_REFUSED, attempt.ran, detail, status, misdirected, said=said)
+            SendFailure(ErrorKind.ENDPOINT_REFUSED, attempt.ran, detail, status, misdirected, feedback=said)
         )
     if response.headers.get(REQUEST_ID) != call.id:
         response.close()
@@ -154,7 +154,7 @@
             close=response.close,
             streamed=response.content_type == STREAM_TYPE,
             version=int(version) if version.isdecimal() else None,
-            said=statement(response.headers, status),
+            feedback=statement(response.headers, status),
         )
     )
 
@@ -175,6 +175,6 @@
         while chunk := await response.content.readany():
             yield chunk
     except (ClientError, OSError) as error:
-        raise BrokenAnswer(type(error).__name__) from error
+        raise IncompleteResponseError(type(error).__name__) from error
     if not framed and (protocol is None or protocol.broke):
-        raise BrokenAnswer("the connection was reset")
+        raise IncompleteResponseError("the connection was reset")
--- a/stairquay/platform/peers.py
+++ b/stairquay/platform/peers.py
@@ -20,7 +20,7 @@
     WAIT,
 )
 from stairquay.platform.weights import WireModel, versions_by_model
-from stairquay.serving.ports import EngineReport, Kept, KeptChanges, OrderAnswer, VersionOrder
+from stairquay.serving.ports import CacheChanges, CacheSnapshot, EngineReport, OrderAnswer, VersionOrder
 
 ANSWER_S = 0.5
 """Seconds for an answer of an engine or store box, besides a wait that was asked for."""
@@ -102,14 +102,14 @@
             running=found.running,
             leaving=found.state == STATE_DRAINING,
             clock_ms=None if found.clock_ms is None else int(found.clock_ms),
-            life=found.boot_epoch,
+            incarnation=found.boot_epoch,
             used_tokens=found.kv_used,
             total_tokens=found.kv_total,
             born=found.born,
             cold_s=None if found.cold_remaining_ms is None else max(0.0, found.cold_remaining_ms / 1000),
         )
 
-    async def kept_changes(self, address: str, since: int, wait_s: float) -> KeptChanges | None:
+    async def cache_changes(self, address: str, since: int, wait_s: float) -> CacheChanges | None:
         """Return a holder's events after a position, None where it does not answer."""
         url = f"http://{address}{KEPT_EVENTS_PATH}?since={since}"
         found = await self._get(url, WireEvents, wait_s + ANSWER_S, {WAIT: str(int(wait_s * 1000))})
@@ -117,20 +117,20 @@
             return None
         events = tuple(PartEvent(item[0], item[2] or "", item[3], item[4]) for item in found.events)
         clock_ms = None if found.clock_ms is None else int(found.clock_ms)
-        return KeptChanges(found.boot_epoch, found.next_page_token, found.lost, events, clock_ms)
+        return CacheChanges(found.boot_epoch, found.next_page_token, found.lost, events, clock_ms)
 
-    async def kept(self, address: str) -> Kept | None:
+    async def cache_snapshot(self, address: str) -> CacheSnapshot | None:
         """Return all that a holder keeps, None where it does not answer."""
         found = await self._get(f"http://{address}{KEPT_LIST_PATH}", WireKept, ANSWER_S)
         if found is None:
             return None
         parts = tuple(((item[0] or "", item[1]), item[2]) for item in found.held)
         partial = tuple((item[0] or "", item[1]) for item in found.partial)
-        return Kept(found.boot_epoch, found.next_page_token, parts, partial)
+        return CacheSnapshot(found.boot_epoch, found.next_page_token, parts, partial)
 
-    async def free(self, address: str, keys: tuple[PartKey, ...], life: int) -> bool:
+    async def free(self, address: str, keys: tuple[PartKey, ...], incarnation: int) -> bool:
         """Free parts at a store box of a given life; tell whether it was done."""
-        body = {"parts": [list(key) for key in keys], "boot_epoch": life}
+        body = {"parts": [list(key) for key in keys], "boot_epoch": incarnation}
         status = await self._post(f"http://{address}{FREE_PATH}", body, {})
         return status == HTTP_OK
 
@@ -151,7 +151,7 @@
             return OrderAnswer.SILENT
         return ORDER_ANSWERS.get(status, OrderAnswer.REFUSED)
 
-    async def accepts(self, address: str) -> bool:
+    async def accepts_connections(self, address: str) -> bool:
         """Tell whether something takes connections at an address: a port that was left resets at once."""
         host, _, port = address.rpartition(":")
         try:
--- a/stairquay/platform/rows.py
+++ b/stairquay/platform/rows.py
@@ -149,10 +149,10 @@
 
     async def get(self, key: str) -> Result[Row | None, PlatformFault]:
         """Return a row, or None where there is none."""
-        found = await self.under(key)
+        found = await self.list_prefix(key)
         return found.map(lambda rows: next((row for row in rows if row.key == key), None))
 
-    async def under(self, prefix: str) -> Result[tuple[Row, ...], PlatformFault]:
+    async def list_prefix(self, prefix: str) -> Result[tuple[Row, ...], PlatformFault]:
         """Return all rows whose keys begin so."""
         found = await self.client.rows(OWN_TABLE, prefix)
         if isinstance(found, Err):
--- a/stairquay/platform/statements.py
+++ b/stairquay/platform/statements.py
@@ -9,7 +9,7 @@
 from stairquay.core.limits import UNLIMITED, parse_decimal
 from stairquay.core.rest import parse_date, parse_retry_after
 from stairquay.platform.names import DATE, LEAVING, LIMIT, RETRY_AFTER
-from stairquay.serving.ports import Statement, Topic
+from stairquay.serving.ports import Feedback, Topic
 
 Headers = CIMultiDictProxy[str]
 Value = TypeVar("Value", bool, float)
@@ -21,7 +21,7 @@
 EMPTY = "(empty)"
 
 
-def statement(headers: Headers, status: int) -> Statement:
+def statement(headers: Headers, status: int) -> Feedback:
     """Return what an answer's head says of its endpoint. Of several limits the lowest holds, of several rests
     the longest."""
     limit = _read(headers, LIMIT, parse_decimal, min, UNLIMITED)
@@ -30,14 +30,14 @@
     if status == TURNED_AWAY:
         answered_at = parse_date(headers.get(DATE, ""), datetime.now(UTC))
         rest = _read(headers, RETRY_AFTER, lambda text: parse_retry_after(text, answered_at), max, 0.0)
-    names_by_topic = {Topic.LIMIT: LIMIT, Topic.LEAVING: LEAVING, Topic.REST: RETRY_AFTER}
-    values = {Topic.LIMIT: limit, Topic.LEAVING: leaving, Topic.REST: rest}
+    names_by_topic = {Topic.LIMIT: LIMIT, Topic.LEAVING: LEAVING, Topic.BACKOFF: RETRY_AFTER}
+    values = {Topic.LIMIT: limit, Topic.LEAVING: leaving, Topic.BACKOFF: rest}
     unreadable = tuple(
         (topic, headers.get(name, "") or EMPTY)
         for topic, name in names_by_topic.items()
         if values[topic] is None
     )
-    return Statement(limit, leaving, rest, unreadable)
+    return Feedback(limit, leaving, rest, unreadable)
 
 
 def _read(
--- a/stairquay/platform/surroundings.py
+++ b/stairquay/platform/surroundings.py
@@ -7,10 +7,10 @@
 from stairquay.platform.names import CRASH_TABLE, READY_PATH
 from stairquay.platform.peers import PeerClient
 from stairquay.platform.rows import FollowedRows, OwnRows, TableClient
-from stairquay.serving.ports import Surroundings
+from stairquay.serving.ports import Ports
 
 
-def open_surroundings(table_address: str) -> Surroundings:
+def open_surroundings(table_address: str) -> Ports:
     """Open the clients; a loop must be running."""
     forwarding = open_session()
     asking = open_session()
@@ -20,7 +20,7 @@
         await forwarding.close()
         await asking.close()
 
-    return Surroundings(
+    return Ports(
         feeds=Feeds(table),
         own=OwnRows(table),
         peers=PeerClient(asking),
--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -28,7 +28,7 @@
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.notices import NoticeSender
 from stairquay.serving.orders import OrderGiver
-from stairquay.serving.ports import Surroundings
+from stairquay.serving.ports import Ports
 from stairquay.serving.settings import BoxSettings
 from stairquay.serving.sharing import SharedFeeds
 from stairquay.serving.state import BoxState
@@ -56,7 +56,7 @@
 """Seconds between two readings of the settings: they may change without a signal."""
 
 LoadSettings = Callable[[], Result[BoxSettings, list[Mistake]]]
-OpenSurroundings = Callable[[], Surroundings]
+OpenSurroundings = Callable[[], Ports]
 Work = Callable[[], Coroutine[Any, Any, None]]
 
 
@@ -97,7 +97,7 @@
 
 def box_parts(
     state: BoxState,
-    surroundings: Surroundings,
+    surroundings: Ports,
     links: Links,
     router: LocalRouter,
     notices: NoticeSender,
--- a/stairquay/serving/boxes.py
+++ b/stairquay/serving/boxes.py
@@ -80,7 +80,7 @@
     async def run(self) -> None:
         """Write and read, until cancelled."""
         while True:
-            found = await self.own.under(PREFIX)
+            found = await self.own.list_prefix(PREFIX)
             if not isinstance(found, Err):
                 self._take(found.ok_value)
             if not await self._write():
--- a/stairquay/serving/crashes.py
+++ b/stairquay/serving/crashes.py
@@ -43,7 +43,7 @@
     async def _probe(self, endpoint: Endpoint, incarnation: str, born: int) -> None:
         """Record a crash, with connections broken meanwhile, unless this incarnation still runs."""
         try:
-            accepts = await self.peers.accepts(endpoint.address)
+            accepts = await self.peers.accepts_connections(endpoint.address)
         finally:
             suspected = self.crashes_by_incarnation.pop(incarnation)
         if accepts and self._is_still_running(endpoint.id, born):
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -18,7 +18,7 @@
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.jobs import Begun, Job, Progress
 from stairquay.serving.messages import Outcome
-from stairquay.serving.ports import BrokenAnswer, Endpoints, Reply, SendFailure
+from stairquay.serving.ports import IncompleteResponseError, Reply, RequestSender, SendFailure
 from stairquay.serving.records import (
     record_answered,
     record_failed,
@@ -57,7 +57,7 @@
     """Sends jobs to endpoints and relays their answers."""
 
     def __init__(
-        self, state: BoxState, endpoints: Endpoints, chooser: Chooser, crashes: CrashDetector
+        self, state: BoxState, endpoints: RequestSender, chooser: Chooser, crashes: CrashDetector
     ) -> None:
         self.state = state
         self.endpoints = endpoints
@@ -176,7 +176,7 @@
 
     def _apply_feedback(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
         """Apply the endpoint's feedback in the head of a reply."""
-        said = sent.err_value.said if isinstance(sent, Err) else sent.ok_value.said
+        said = sent.err_value.feedback if isinstance(sent, Err) else sent.ok_value.feedback
         if said is not None:
             apply_feedback(self.state, begun.choice.endpoint, begun.held, said, begun.sent_at, monotonic())
 
@@ -228,7 +228,7 @@
                 assert response is not None
             elif progress.stream.response is not None:
                 # The caller already has the head of a stream, which no other answer may follow.
-                raise BrokenAnswer(f"status {reply.status} in place of the rest of a stream")
+                raise IncompleteResponseError(f"status {reply.status} in place of the rest of a stream")
             else:
                 body = await read_whole(reply, job.deadline)
                 if reply.status >= SERVER_ERROR and self._handle_error_reply(
@@ -237,12 +237,14 @@
                     return None
                 self._on_first_output(job, begun)
                 response = whole_response(reply, body)
-        except (BrokenAnswer, TimeoutError) as error:
+        except (IncompleteResponseError, TimeoutError) as error:
             kind = ErrorKind.DEADLINE if isinstance(error, TimeoutError) else ErrorKind.ENDPOINT_FAILED
             begun.attempt.lose()
             fault = kind != ErrorKind.DEADLINE
             detail = f"the answer broke off: {error}"
-            failure = SendFailure(kind, begun.attempt.ran, detail, reply.status, fault=fault, broke=fault)
+            failure = SendFailure(
+                kind, begun.attempt.ran, detail, reply.status, fault=fault, connection_broken=fault
+            )
             self._on_failed(job, begun, progress, failure)
             return None
         finally:
@@ -293,7 +295,7 @@
             begun.held.on_outcome(True, now)
             if _was_unreachable(failure):
                 begun.held.unreachable_at = now
-        if failure.broke:
+        if failure.connection_broken:
             self.crashes.connection_broken(job, begun, progress.stream.events)
         record_failed(self.state, job, begun, failure, now)
 
--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -21,7 +21,7 @@
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.links import Links
 from stairquay.serving.local_router import LocalRouter
-from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
+from stairquay.serving.messages import EndedAttempt, Outcome, PlaceReply, PlaceRequest, PromptPart
 from stairquay.serving.notices import NoticeSender
 from stairquay.serving.pacing import count_sent, retry_after_s
 from stairquay.serving.saving import choose_and_save
@@ -106,7 +106,7 @@
         """Tell the router that a request has ended at its endpoint, and with which outcome."""
         router = next((item for item in self.state.routers if item.id == choice.router), None)
         if router is not None:
-            self.notices.add_ended(router, Ended(choice.ticket, outcome))
+            self.notices.add_ended(router, EndedAttempt(choice.ticket, outcome))
 
     async def _place(
         self, router: Member, request: PlaceRequest, prompt: PromptShape, progress: Progress
@@ -116,7 +116,7 @@
             reply = await self._ask_with_feedback(router, request)
         except asyncio.CancelledError:
             # The caller has disconnected.
-            self.notices.add_ended(router, Ended(request.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, EndedAttempt(request.ticket, Outcome.NOT_SENT))
             raise
         if reply is None:
             return None
@@ -126,7 +126,7 @@
             return None
         endpoint = self._usable_endpoint(reply, prompt)
         if endpoint is None:
-            self.notices.add_ended(router, Ended(request.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, EndedAttempt(request.ticket, Outcome.NOT_SENT))
             return None
         return _choice_from_reply(endpoint, reply, router.id, request.ticket)
 
@@ -150,7 +150,7 @@
         reply = await self._ask(router, structs.replace(request, said=feedback))
         if reply is not None and (not reply.endpoint or self._lacks_feedback(reply)):
             # Release the first placement, which is not used.
-            self.notices.add_ended(router, Ended(request.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, EndedAttempt(request.ticket, Outcome.NOT_SENT))
             return PlaceReply(come_back_s=reply.come_back_s)
         return reply
 
@@ -176,7 +176,7 @@
         reply = self.links.heard(router, answer, "where a prompt runs")
         if reply is None:
             # It may have placed the prompt and only answered too late.
-            self.notices.add_ended(router, Ended(request.ticket, Outcome.NOT_SENT))
+            self.notices.add_ended(router, EndedAttempt(request.ticket, Outcome.NOT_SENT))
         return reply
 
     def _usable_endpoint(self, reply: PlaceReply, prompt: PromptShape) -> Endpoint | None:
@@ -234,7 +234,7 @@
             box=self.state.settings.id,
             service=job.service.id,
             model=prompt.model,
-            parts=tuple(PartShape(part.id, part.tokens) for part in prompt.parts),
+            parts=tuple(PromptPart(part.id, part.tokens) for part in prompt.parts),
             tokens=prompt.tokens,
             max_output=prompt.max_output,
             wall=workspace.id if workspace is not None and workspace.isolated else "",
--- a/stairquay/serving/front.py
+++ b/stairquay/serving/front.py
@@ -13,7 +13,7 @@
 from stairquay.serving.dispatch import Dispatcher
 from stairquay.serving.event_log import LogEvent
 from stairquay.serving.jobs import Job
-from stairquay.serving.ports import Callers
+from stairquay.serving.ports import CallerCodec
 from stairquay.serving.state import BoxState
 
 BODY_S = 10.0
@@ -39,7 +39,7 @@
 class Front:
     """Handles callers' requests."""
 
-    def __init__(self, state: BoxState, callers: Callers, dispatcher: Dispatcher, random: Random) -> None:
+    def __init__(self, state: BoxState, callers: CallerCodec, dispatcher: Dispatcher, random: Random) -> None:
         self.state = state
         self.callers = callers
         self.dispatcher = dispatcher
--- a/stairquay/serving/links.py
+++ b/stairquay/serving/links.py
@@ -16,10 +16,10 @@
 from stairquay.core.routers import Member
 from stairquay.serving.event_log import LogEvent
 from stairquay.serving.messages import (
+    Empty,
     EndpointsReply,
     EndpointsRequest,
     FinishedNotice,
-    Nothing,
     OperatorsReply,
     OperatorsRequest,
     PlaceReply,
@@ -59,7 +59,7 @@
     """What a router answers, by kind of question."""
 
     place: Callable[[PlaceRequest], Awaitable[PlaceReply]]
-    finished: Callable[[FinishedNotice], Awaitable[Nothing]]
+    finished: Callable[[FinishedNotice], Awaitable[Empty]]
     operators: Callable[[OperatorsRequest], Awaitable[OperatorsReply]]
     endpoints: Callable[[EndpointsRequest], Awaitable[EndpointsReply]]
     views: Callable[[ViewsRequest], Awaitable[ViewsReply]]
@@ -92,7 +92,7 @@
     def __init__(self, address: str) -> None:
         self.channel = grpc.aio.insecure_channel(address, options=LINK_OPTIONS)
         self._place = self._call("Place", PlaceReply)
-        self._finished = self._call("Finished", Nothing)
+        self._finished = self._call("Finished", Empty)
         self._operators = self._call("Operators", OperatorsReply)
         self._endpoints = self._call("Endpoints", EndpointsReply)
         self._views = self._call("Views", ViewsReply)
@@ -101,7 +101,7 @@
         """Ask where a prompt should run."""
         return await _answered(self._place(request, timeout=limit_s))
 
-    async def finished(self, notice: FinishedNotice, limit_s: float) -> Nothing | None:
+    async def finished(self, notice: FinishedNotice, limit_s: float) -> Empty | None:
         """Tell which requests have ended."""
         return await _answered(self._finished(notice, timeout=limit_s))
 
--- a/stairquay/serving/local_router.py
+++ b/stairquay/serving/local_router.py
@@ -24,16 +24,16 @@
 from stairquay.serving.event_log import LogEvent
 from stairquay.serving.links import Answers, serve
 from stairquay.serving.messages import (
-    CrashesTold,
-    CrashTold,
-    Ended,
+    Empty,
+    EndedAttempt,
     EndpointsReply,
     EndpointsRequest,
     FinishedNotice,
-    Nothing,
     OperatorsReply,
     OperatorsRequest,
     Outcome,
+    PeerCrash,
+    PeerCrashes,
     PlaceReply,
     PlaceRequest,
     ViewsReply,
@@ -165,7 +165,7 @@
             if self.prefill_ticket_by_key.get(key) == ticket:
                 del self.prefill_ticket_by_key[key]
 
-    def finished(self, ended: Ended) -> None:
+    def finished(self, ended: EndedAttempt) -> None:
         """Stop counting a prompt on its engine, and record the outcome."""
         placed = self.placed_by_ticket.pop(ended.ticket, None)
         if placed is not None:
@@ -200,7 +200,7 @@
         now = monotonic()
         placement = choice.placement
         assert placement is not None
-        self.finished(Ended(request.ticket, Outcome.NOT_SENT))
+        self.finished(EndedAttempt(request.ticket, Outcome.NOT_SENT))
         expected_prefill_s = prefill_s(placement.read, request.tokens)
         address = choice.endpoint.address
         shared_parts = tuple(((choice.scope, part.id), part.tokens) for part in request.parts[:-1])
@@ -252,7 +252,7 @@
         for ticket, placed in list(self.placed_by_ticket.items()):
             if now - placed.at < PLACEMENT_TTL_S:
                 break
-            self.finished(Ended(ticket))
+            self.finished(EndedAttempt(ticket))
 
     async def _open(self) -> None:
         address = self.state.settings.peer_address
@@ -276,13 +276,13 @@
     async def _on_place(self, request: PlaceRequest) -> PlaceReply:
         return self.place(request)
 
-    async def _on_finished(self, notice: FinishedNotice) -> Nothing:
+    async def _on_finished(self, notice: FinishedNotice) -> Empty:
         apply_peer_feedback(self.state, notice.said, monotonic())
         for ticket in notice.read:
             self.prefill_finished(ticket)
         for ended in notice.ended:
             self.finished(ended)
-        return Nothing()
+        return Empty()
 
     async def _on_operators(self, request: OperatorsRequest) -> OperatorsReply:
         received_at = monotonic()
@@ -336,7 +336,7 @@
         said = feedback_for_peers(state, now, frozenset(item.endpoint for item in request.said))
         return OperatorsReply(changes, state.view_age(), now - received_at, changed, crashes, said)
 
-    def _crashes_since(self, known: int) -> tuple[int, CrashesTold | None]:
+    def _crashes_since(self, known: int) -> tuple[int, PeerCrashes | None]:
         """Return the revision of the last change to the crash rows, and the crashes if that isn't `known`."""
         quarantine, now = self.state.quarantine, monotonic()
         if quarantine.rows_revision < 0 or now - quarantine.rows_asked_at > STALE_S:
@@ -345,11 +345,11 @@
             return known, None
         report = quarantine.report_to_forward()
         crashes = tuple(
-            CrashTold(crash.digest, crash.incarnation, now - crash.at, crash.ran_s, crash.events)
+            PeerCrash(crash.digest, crash.incarnation, now - crash.at, crash.ran_s, crash.events)
             for crash in report.crashes
         )
         cleared = tuple((digest, now - at) for digest, at in report.cleared.items())
-        return quarantine.rows_changed_revision, CrashesTold(crashes, cleared)
+        return quarantine.rows_changed_revision, PeerCrashes(crashes, cleared)
 
     def _endpoints_reply(self, request: EndpointsRequest) -> EndpointsReply:
         state = self.state
--- a/stairquay/serving/messages.py
+++ b/stairquay/serving/messages.py
@@ -9,14 +9,14 @@
 from stairquay.serving.ports import EndpointChanges, OperatorChanges
 
 
-class PartShape(msgspec.Struct, frozen=True, array_like=True):
+class PromptPart(msgspec.Struct, frozen=True, array_like=True):
     """One part of a prompt."""
 
     id: str
     tokens: int
 
 
-class StatementTold(msgspec.Struct, frozen=True, array_like=True):
+class PeerFeedback(msgspec.Struct, frozen=True, array_like=True):
     """What a box heard an endpoint say of its use.
 
     born: of the life that said it, 0 where that is not known. per_s: its limit; sent_ago_s, heard_ago_s: as
@@ -47,14 +47,14 @@
     box: str
     service: str
     model: str
-    parts: tuple[PartShape, ...]
+    parts: tuple[PromptPart, ...]
     tokens: int
     max_output: int
     wall: str
     tried: tuple[str, ...]
     most_backlog_s: float | None = None
     may_wait: bool = False
-    said: tuple[StatementTold, ...] = ()
+    said: tuple[PeerFeedback, ...] = ()
 
 
 class PlaceReply(msgspec.Struct, frozen=True, array_like=True):
@@ -80,7 +80,7 @@
     alternative_s: float | None = None
     backlog_s: float = 0.0
     again_s: float = 0.0
-    said: StatementTold | None = None
+    said: PeerFeedback | None = None
     come_back_s: float = 0.0
 
 
@@ -103,7 +103,7 @@
     """It never left its box."""
 
 
-class Ended(msgspec.Struct, frozen=True, array_like=True):
+class EndedAttempt(msgspec.Struct, frozen=True, array_like=True):
     """An attempt that has left the endpoint it was placed on."""
 
     ticket: str
@@ -114,12 +114,12 @@
     """Names attempts that have ended, and the tickets of those whose prompts have been read; none where a
     router only asks whether another is there. said: what the sender heard endpoints say."""
 
-    ended: tuple[Ended, ...]
+    ended: tuple[EndedAttempt, ...]
     read: tuple[str, ...] = ()
-    said: tuple[StatementTold, ...] = ()
+    said: tuple[PeerFeedback, ...] = ()
 
 
-class CrashTold(msgspec.Struct, frozen=True, array_like=True):
+class PeerCrash(msgspec.Struct, frozen=True, array_like=True):
     """An endpoint crashed while a request was there, `ago_s` before this was made. Else as
     core.crashes.Crash."""
 
@@ -130,11 +130,11 @@
     events: int | None
 
 
-class CrashesTold(msgspec.Struct, frozen=True, array_like=True):
+class PeerCrashes(msgspec.Struct, frozen=True, array_like=True):
     """What a router knows of crashes. cleared: requests that are above suspicion, and for how many
     seconds."""
 
-    crashes: tuple[CrashTold, ...]
+    crashes: tuple[PeerCrash, ...]
     cleared: tuple[tuple[str, float], ...]
 
 
@@ -148,7 +148,7 @@
     after: int
     wait_s: float
     crashes_known: int = -1
-    said: tuple[StatementTold, ...] = ()
+    said: tuple[PeerFeedback, ...] = ()
 
 
 class OperatorsReply(msgspec.Struct, frozen=True, array_like=True):
@@ -164,8 +164,8 @@
     age_s: float
     held_s: float
     crashes_revision: int = -1
-    crashes: CrashesTold | None = None
-    said: tuple[StatementTold, ...] = ()
+    crashes: PeerCrashes | None = None
+    said: tuple[PeerFeedback, ...] = ()
 
 
 class EndpointsRequest(msgspec.Struct, frozen=True, array_like=True):
@@ -197,5 +197,5 @@
     endpoints: EndpointsReply
 
 
-class Nothing(msgspec.Struct, frozen=True, array_like=True):
+class Empty(msgspec.Struct, frozen=True, array_like=True):
     """An empty message."""
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -11,7 +11,7 @@
 from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.links import Links
 from stairquay.serving.local_router import LocalRouter
-from stairquay.serving.messages import Ended, FinishedNotice
+from stairquay.serving.messages import EndedAttempt, FinishedNotice
 from stairquay.serving.state import BoxState
 from stairquay.serving.telling import feedback_for_peers
 
@@ -35,7 +35,7 @@
         self.state = state
         self.links = links
         self.local_router = local_router
-        self.ended_by_router: dict[Member, list[Ended]] = {}
+        self.ended_by_router: dict[Member, list[EndedAttempt]] = {}
         self.prefilled_by_router: dict[Member, list[str]] = {}
         self.sending_by_router: dict[Member, asyncio.Task[None]] = {}
         self.queue_changed = ChangeNotifier()
@@ -68,7 +68,7 @@
         ]
         return min(waits_s, default=None)
 
-    def add_ended(self, router: Member, ended: Ended) -> None:
+    def add_ended(self, router: Member, ended: EndedAttempt) -> None:
         """Queue that a prompt has left its engine. This box's own router is notified at once."""
         if router.id == self.state.settings.id:
             self.local_router.finished(ended)
--- a/stairquay/serving/ports.py
+++ b/stairquay/serving/ports.py
@@ -88,7 +88,7 @@
     async def get(self, key: str) -> Result[Row | None, PlatformFault]:
         """Return a row, or None where there is none."""
 
-    async def under(self, prefix: str) -> Result[tuple[Row, ...], PlatformFault]:
+    async def list_prefix(self, prefix: str) -> Result[tuple[Row, ...], PlatformFault]:
         """Return all rows whose keys begin so."""
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflict, PlatformFault]:
@@ -130,7 +130,7 @@
     running: int = 0
     leaving: bool = False
     clock_ms: int | None = None
-    life: int | None = None
+    incarnation: int | None = None
     used_tokens: int = 0
     total_tokens: int = 0
     born: int = 0
@@ -138,20 +138,20 @@
 
 
 @dataclass(frozen=True)
-class Kept:
+class CacheSnapshot:
     """All that a holder keeps; `partial` counts the parts that broke off on their way in."""
 
-    life: int
+    incarnation: int
     position: int
     parts: tuple[tuple[PartKey, int], ...]
     partial: tuple[PartKey, ...] = ()
 
 
 @dataclass(frozen=True)
-class KeptChanges:
+class CacheChanges:
     """A holder's events. `lost`: some are missing, and the list has to be read anew."""
 
-    life: int
+    incarnation: int
     position: int
     lost: bool
     events: tuple[PartEvent, ...]
@@ -188,19 +188,19 @@
     async def report(self, address: str) -> EngineReport | None:
         """Return an endpoint's state."""
 
-    async def kept_changes(self, address: str, since: int, wait_s: float) -> KeptChanges | None:
+    async def cache_changes(self, address: str, since: int, wait_s: float) -> CacheChanges | None:
         """Return a holder's events after a position, waiting for some."""
 
-    async def kept(self, address: str) -> Kept | None:
+    async def cache_snapshot(self, address: str) -> CacheSnapshot | None:
         """Return all that a holder keeps."""
 
-    async def free(self, address: str, keys: tuple[PartKey, ...], life: int) -> bool:
+    async def free(self, address: str, keys: tuple[PartKey, ...], incarnation: int) -> bool:
         """Free parts at a store box, unless it has started anew; tell whether it was done."""
 
     async def order(self, order: VersionOrder) -> OrderAnswer:
         """Give an order."""
 
-    async def accepts(self, address: str) -> bool:
+    async def accepts_connections(self, address: str) -> bool:
         """Tell whether something takes connections at an address."""
 
 
@@ -209,11 +209,11 @@
 
     LIMIT = "limit"
     LEAVING = "leaving"
-    REST = "rest"
+    BACKOFF = "rest"
 
 
 @dataclass(frozen=True)
-class Statement:
+class Feedback:
     """What an answer says of its endpoint's use.
 
     limit_per_s: requests a second that it takes from all callers together. leaving: it takes no new work any
@@ -223,7 +223,7 @@
 
     limit_per_s: float | None = UNLIMITED
     leaving: bool | None = False
-    rest_s: float | None = 0.0
+    backoff_s: float | None = 0.0
     unreadable: tuple[tuple[Topic, str], ...] = ()
 
 
@@ -242,8 +242,8 @@
     status: int = 0
     misdirected: bool = False
     fault: bool = True
-    broke: bool = False
-    said: Statement | None = None
+    connection_broken: bool = False
+    feedback: Feedback | None = None
 
 
 @dataclass(frozen=True)
@@ -259,10 +259,10 @@
     close: Callable[[], None]
     streamed: bool = False
     version: int | None = None
-    said: Statement = Statement()
+    feedback: Feedback = Feedback()
 
 
-class BrokenAnswer(Exception):
+class IncompleteResponseError(Exception):
     """An answer ended before it was whole."""
 
 
@@ -270,7 +270,7 @@
 """Tells, at the last moment before bytes may leave, whether the request may still be sent."""
 
 
-class Endpoints(Protocol):
+class RequestSender(Protocol):
     """Callers' requests on their way to endpoints."""
 
     async def send(
@@ -279,7 +279,7 @@
         """Send a request, and return the answer's head."""
 
 
-class Callers(Protocol):
+class CallerCodec(Protocol):
     """The dialect that callers speak."""
 
     def decode(self, request: web.Request) -> Result[Call, Refusal]:
@@ -290,14 +290,14 @@
 
 
 @dataclass(frozen=True)
-class Surroundings:
+class Ports:
     """All ports of the one-process program."""
 
     feeds: Feeds
     own: OwnTable
     peers: Peers
-    endpoints: Endpoints
-    callers: Callers
+    endpoints: RequestSender
+    callers: CallerCodec
     ready_path: str
     close: Callable[[], Awaitable[None]]
     crashes: CrashTable
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -7,12 +7,12 @@
 from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.event_log import LogEvent
 from stairquay.serving.jobs import Begun, Job, Progress
-from stairquay.serving.ports import Reply, SendFailure, Statement
+from stairquay.serving.ports import Feedback, Reply, SendFailure
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import limit_of
 
 
-def said_inputs(said: Statement | None) -> dict[str, object]:
+def said_inputs(said: Feedback | None) -> dict[str, object]:
     """Return what an answer said of its endpoint's use, as lines give it."""
     if said is None:
         return {}
@@ -21,8 +21,8 @@
         inputs["limit_per_s"] = said.limit_per_s
     if said.leaving:
         inputs["leaving"] = True
-    if said.rest_s:
-        inputs["rest_s"] = said.rest_s
+    if said.backoff_s:
+        inputs["rest_s"] = said.backoff_s
     if said.unreadable:
         inputs["unreadable"] = {topic.value: text for topic, text in said.unreadable}
     return inputs
@@ -99,9 +99,9 @@
         status=failure.status,
         took_s=now - begun.sent_at,
         failing=begun.held.current_failure_rate(now),
-        broke=failure.broke,
+        broke=failure.connection_broken,
         digest=job.digest,
-        **said_inputs(failure.said),
+        **said_inputs(failure.feedback),
     )
 
 
@@ -139,7 +139,7 @@
         events=progress.stream.events,
         first_s=None if begun.first_at is None else begun.first_at - job.arrived_at,
         took_s=now - job.arrived_at,
-        **said_inputs(reply.said),
+        **said_inputs(reply.feedback),
     )
 
 
--- a/stairquay/serving/relay.py
+++ b/stairquay/serving/relay.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from stairquay.adapters.clock import monotonic
-from stairquay.serving.ports import BrokenAnswer, Reply
+from stairquay.serving.ports import IncompleteResponseError, Reply
 
 EVENT_END = b"\n\n"
 EVENT_ID = re.compile(rb"^id: ?(.*?)\r?$", re.MULTILINE)
@@ -38,7 +38,7 @@
         async for chunk in reply.chunks():
             body += chunk
             if len(body) > MAX_ANSWER_BYTES:
-                raise BrokenAnswer("the answer is too large")
+                raise IncompleteResponseError("the answer is too large")
     return bytes(body)
 
 
@@ -90,7 +90,7 @@
         end = held.rfind(EVENT_END)
         if end < 0:
             if len(held) > MAX_EVENT_BYTES:
-                raise BrokenAnswer("an event is too large")
+                raise IncompleteResponseError("an event is too large")
             continue
         end += len(EVENT_END)
         yield held[:end]
--- a/stairquay/serving/sharing.py
+++ b/stairquay/serving/sharing.py
@@ -16,11 +16,11 @@
 from stairquay.core.routers import routers_for
 from stairquay.serving.links import Link, Links
 from stairquay.serving.messages import (
-    CrashesTold,
     EndpointsReply,
     EndpointsRequest,
     OperatorsReply,
     OperatorsRequest,
+    PeerCrashes,
     ViewsReply,
     ViewsRequest,
 )
@@ -120,7 +120,7 @@
         feedback = feedback_for_peers(self.state, monotonic())
         return OperatorsRequest(after, hold_s, self.state.quarantine.router_revision, feedback)
 
-    def _apply_crash_report(self, revision: int, report: CrashesTold | None) -> None:
+    def _apply_crash_report(self, revision: int, report: PeerCrashes | None) -> None:
         """Apply a router's crash report. revision: -1 for none; report: None if unchanged."""
         quarantine, now = self.state.quarantine, monotonic()
         was_reporting = quarantine.router_reporting
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -12,7 +12,7 @@
 from stairquay.core.rest import Backoff
 from stairquay.serving.endpoint import EndpointState
 from stairquay.serving.event_log import LogEvent
-from stairquay.serving.ports import Statement, Topic
+from stairquay.serving.ports import Feedback, Topic
 from stairquay.serving.state import BoxState
 
 
@@ -25,7 +25,7 @@
     state: BoxState,
     endpoint: Endpoint,
     endpoint_state: EndpointState,
-    feedback: Statement,
+    feedback: Feedback,
     sent_at: float,
     now: float,
 ) -> None:
@@ -39,8 +39,8 @@
         apply_limit(state, endpoint, endpoint_state, LimitReport(feedback.limit_per_s, sent_at, now))
     if feedback.leaving:
         apply_leaving(state, endpoint.id, endpoint_state.born, "answer")
-    if feedback.rest_s is not None:
-        _apply_backoff(state, endpoint, endpoint_state, feedback.rest_s, sent_at, now)
+    if feedback.backoff_s is not None:
+        _apply_backoff(state, endpoint, endpoint_state, feedback.backoff_s, sent_at, now)
 
 
 def apply_leaving(state: BoxState, endpoint_id: str, born: int, source: str) -> None:
--- a/stairquay/serving/telling.py
+++ b/stairquay/serving/telling.py
@@ -7,7 +7,7 @@
 from stairquay.core.fleet import Endpoint
 from stairquay.core.limits import UNLIMITED, LimitReport
 from stairquay.serving.endpoint import EndpointState
-from stairquay.serving.messages import StatementTold
+from stairquay.serving.messages import PeerFeedback
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import apply_leaving, apply_limit, backoffs_by_id
 
@@ -20,7 +20,7 @@
 
 def feedback_for_peers(
     state: BoxState, now: float, include_ids: frozenset[str] = frozenset()
-) -> tuple[StatementTold, ...]:
+) -> tuple[PeerFeedback, ...]:
     """Return the feedback that other boxes should know.
 
     include_ids: endpoints of which the other box has outdated feedback.
@@ -33,25 +33,25 @@
     )
 
 
-def backoffs_for_router(state: BoxState, now: float) -> tuple[StatementTold, ...]:
+def backoffs_for_router(state: BoxState, now: float) -> tuple[PeerFeedback, ...]:
     """Return the backoffs that bind this box."""
     return tuple(
-        StatementTold(endpoint_id, 0, rest_s=rest_s)
+        PeerFeedback(endpoint_id, 0, rest_s=rest_s)
         for endpoint_id, rest_s in backoffs_by_id(state, now).items()
     )
 
 
-def limit_feedback(endpoint: Endpoint, endpoint_state: EndpointState, now: float) -> StatementTold | None:
+def limit_feedback(endpoint: Endpoint, endpoint_state: EndpointState, now: float) -> PeerFeedback | None:
     """Return an endpoint's last known rate limit for another box, None if there was never one."""
     limit = endpoint_state.limit
     if limit is None:
         return None
-    return StatementTold(
+    return PeerFeedback(
         endpoint.id, endpoint_state.born, limit.per_s, now - limit.sent_at, now - limit.received_at
     )
 
 
-def apply_peer_feedback(state: BoxState, feedback: Iterable[StatementTold], now: float) -> None:
+def apply_peer_feedback(state: BoxState, feedback: Iterable[PeerFeedback], now: float) -> None:
     """Apply leaving states and rate limits that another box received.
 
     Limits of another incarnation are ignored, and backoffs bind only the box that received them.
@@ -98,19 +98,17 @@
     }
 
 
-def _endpoint_feedback(state: BoxState, endpoint_id: str, rest_s: float, now: float) -> StatementTold:
+def _endpoint_feedback(state: BoxState, endpoint_id: str, rest_s: float, now: float) -> PeerFeedback:
     endpoint, departing = state.fleet.by_id.get(endpoint_id), state.fleet.leaving_by_id.get(endpoint_id)
     if endpoint is None:
-        return StatementTold(
+        return PeerFeedback(
             endpoint_id,
             0 if departing is None else departing.born,
             leaving=departing is not None,
             rest_s=rest_s,
         )
     endpoint_state = state.endpoint_state(endpoint)
-    feedback = limit_feedback(endpoint, endpoint_state, now) or StatementTold(
-        endpoint_id, endpoint_state.born
-    )
+    feedback = limit_feedback(endpoint, endpoint_state, now) or PeerFeedback(endpoint_id, endpoint_state.born)
     # A newer incarnation, which may be known before its entry is listed, is not leaving.
     leaving = departing is not None and endpoint_state.born <= departing.born
     return structs.replace(feedback, leaving=leaving, rest_s=rest_s)
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -129,18 +129,18 @@
 
     async def _watch_engine(self, address: str) -> None:
         position = 0
-        life = 0
+        incarnation = 0
         listed_at = float("-inf")
         while True:
             asked_at = monotonic()
-            changes = await self.peers.kept_changes(address, position, EVENTS_WAIT_S)
+            changes = await self.peers.cache_changes(address, position, EVENTS_WAIT_S)
             self._count("engine_events", changes is not None)
             if changes is None:
                 await asyncio.sleep(AGAIN_S)
                 continue
-            if changes.life != life:
+            if changes.incarnation != incarnation:
                 self.state.holdings.forget(address)
-                life = changes.life
+                incarnation = changes.incarnation
                 if position != 0:
                     position = 0
                     continue
@@ -156,28 +156,32 @@
         """Follow a store box. Its list is read first, and again whenever anything was missed."""
         while True:
             asked_at = monotonic()
-            kept = await self.peers.kept(address)
+            kept = await self.peers.cache_snapshot(address)
             self._count("store_list", kept is not None)
             if kept is None:
                 await asyncio.sleep(AGAIN_S)
                 continue
-            self.state.holdings.replace(address, kept.life, kept.position, kept.parts, asked_at)
+            self.state.holdings.replace(address, kept.incarnation, kept.position, kept.parts, asked_at)
             self.state.log.line(
-                LogEvent.STORE_VIEW, store=address, outcome="read", parts=len(kept.parts), life=kept.life
+                LogEvent.STORE_VIEW,
+                store=address,
+                outcome="read",
+                parts=len(kept.parts),
+                life=kept.incarnation,
             )
-            cause = await self._follow_store(address, kept.life, kept.position)
+            cause = await self._follow_store(address, kept.incarnation, kept.position)
             self.state.holdings.forget(address)
             self.state.log.line(LogEvent.STORE_VIEW, store=address, outcome="dropped", cause=cause)
 
-    async def _follow_store(self, address: str, life: int, position: int) -> str:
+    async def _follow_store(self, address: str, incarnation: int, position: int) -> str:
         """Take in a store box's events until its view cannot be trusted any more; return why."""
         while True:
             asked_at = monotonic()
-            changes = await self.peers.kept_changes(address, position, STORE_WAIT_S)
+            changes = await self.peers.cache_changes(address, position, STORE_WAIT_S)
             self._count("store_events", changes is not None)
             if changes is None:
                 return "silent"
-            if changes.life != life:
+            if changes.incarnation != incarnation:
                 return "started anew"
             if changes.lost:
                 return "events lost"
@@ -187,10 +191,10 @@
             await asyncio.sleep(EVENTS_PAUSE_S)
 
     async def _list(self, address: str, asked_at: float) -> None:
-        kept = await self.peers.kept(address)
+        kept = await self.peers.cache_snapshot(address)
         self._count("engine_list", kept is not None)
         if kept is not None:
-            self.state.holdings.replace(address, kept.life, kept.position, kept.parts, asked_at)
+            self.state.holdings.replace(address, kept.incarnation, kept.position, kept.parts, asked_at)
 
     def _take_clock(self, clock_ms: int | None) -> None:
         if clock_ms is not None:
--- a/tests/loads/test_rests_that_end.py
+++ b/tests/loads/test_rests_that_end.py
@@ -12,7 +12,7 @@
 
 from stairquay.core.fleet import Endpoint
 from stairquay.serving.following import apply_endpoints
-from stairquay.serving.ports import EndpointChanges, Statement
+from stairquay.serving.ports import EndpointChanges, Feedback
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import apply_feedback, backoffs_by_id, record_probe
 from tests.states import box_state
@@ -41,7 +41,7 @@
 def sends_again_at(state: BoxState, endpoint: Endpoint, asked_at: float) -> float:
     """Return when a box that always has work for an endpoint sends it the next request."""
     apply_feedback(
-        state, endpoint, state.endpoint_state(endpoint), Statement(rest_s=REST_S), asked_at, asked_at
+        state, endpoint, state.endpoint_state(endpoint), Feedback(backoff_s=REST_S), asked_at, asked_at
     )
     steps = range(int(LATEST_S * 200) + 1)
     return next(asked_at + step / 200 for step in steps if not backoffs_by_id(state, asked_at + step / 200))
--- a/tests/many_boxes.py
+++ b/tests/many_boxes.py
@@ -11,11 +11,11 @@
 
 from stairquay.serving.links import Answers, Link, serve
 from stairquay.serving.messages import (
-    Ended,
+    Empty,
+    EndedAttempt,
     EndpointsReply,
     EndpointsRequest,
     FinishedNotice,
-    Nothing,
     OperatorsReply,
     OperatorsRequest,
     PlaceReply,
@@ -49,7 +49,7 @@
     followed: int = 0
     again: int = 0
     asked: list[PlaceRequest] = field(default_factory=list)
-    ended: list[Ended] = field(default_factory=list)
+    ended: list[EndedAttempt] = field(default_factory=list)
     read: list[str] = field(default_factory=list)
 
     def answers(self) -> Answers:
@@ -63,11 +63,11 @@
             return PlaceReply(endpoint="e-0", version=1, again_s=0.02)
         return self.reply
 
-    async def finished(self, notice: FinishedNotice) -> Nothing:
+    async def finished(self, notice: FinishedNotice) -> Empty:
         self.ended += notice.ended
         self.read += notice.read
         await self.wait()
-        return Nothing()
+        return Empty()
 
     async def operators(self, asked: OperatorsRequest) -> OperatorsReply:
         self.followed += 1
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -14,7 +14,7 @@
 from stairquay.serving.engine_views import best_sources, usable_sources
 from stairquay.serving.following import AGAIN_S, ROUTED_AGAIN_S, SINGLE_MISSES, again_s
 from stairquay.serving.local_router import LocalRouter
-from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceRequest
+from stairquay.serving.messages import EndedAttempt, Outcome, PlaceRequest, PromptPart
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.ports import EngineReport
 from stairquay.serving.state import BoxState
@@ -112,11 +112,11 @@
     state.holdings.expect("10.0.1.0:1", "/m/0", "aa", 500)
     state.holdings.expect("10.0.1.0:1", "/m/0", "bb", 300)
     part = LocalRouter(state, CHANCE)
-    parts = (PartShape("aa", 500), PartShape("bb", 300))
+    parts = (PromptPart("aa", 500), PromptPart("bb", 300))
     for number in range(3):
         part.place(PlaceRequest(f"t{number}", "b-2", "llm", "m", parts, 800, 20, "", ("e-1",)))
     assert state.endpoints_by_id["e-0"].used_tokens(monotonic()) == 2_400
-    part.finished(Ended("t0", Outcome.TURNED_AWAY))
+    part.finished(EndedAttempt("t0", Outcome.TURNED_AWAY))
     assert state.endpoints_by_id["e-0"].used_tokens(monotonic()) == 1_600
 
 
--- a/tests/test_idle_box.py
+++ b/tests/test_idle_box.py
@@ -18,7 +18,7 @@
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import EndpointsRequest, OperatorsRequest, ViewsRequest
 from stairquay.serving.notices import NoticeSender
-from stairquay.serving.ports import EndpointChanges, OperatorChanges, Surroundings
+from stairquay.serving.ports import EndpointChanges, OperatorChanges, Ports
 from stairquay.serving.settings import BoxSettings
 from stairquay.serving.state import BoxState
 from tests.states import box_state
@@ -82,7 +82,7 @@
         self.rows = [Row(f"box/{name}", router, 1) for name in names]
         self.rows += [Row(f"box/other-{number}", plain, 1) for number in range(200)]
 
-    async def under(self, prefix):
+    async def list_prefix(self, prefix):
         return Ok(tuple(self.rows))
 
     async def commit(self, commit):
@@ -98,7 +98,7 @@
 
     async def scenario() -> float:
         state = BoxState(settings, EventLog(settings.id, write=len))
-        surroundings = Surroundings(HeldFeeds(), Rows(), None, None, None, "", None, HeldCrashes())
+        surroundings = Ports(HeldFeeds(), Rows(), None, None, None, "", None, HeldCrashes())
         links, router = Links(state), LocalRouter(state, Random(1))
         notices = NoticeSender(state, links, router)
         parts = box_parts(state, surroundings, links, router, notices, Random(1))
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -13,13 +13,13 @@
 from stairquay.serving.following import apply_endpoints, apply_operators
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import (
-    Ended,
+    EndedAttempt,
     EndpointsRequest,
     OperatorsRequest,
     Outcome,
-    PartShape,
     PlaceReply,
     PlaceRequest,
+    PromptPart,
 )
 from stairquay.serving.orders import OrderGiver
 from stairquay.serving.pacing import MAX_COLD_RETRY_S, retry_after_s, wait_s
@@ -51,7 +51,7 @@
 
 
 def reply_to(part: LocalRouter, ticket: str) -> PlaceReply:
-    request = PlaceRequest(ticket, "b-2", "llm", "m", (PartShape("aa", 500),), 500, 20, "", ())
+    request = PlaceRequest(ticket, "b-2", "llm", "m", (PromptPart("aa", 500),), 500, 20, "", ())
     return part.place(request)
 
 
@@ -119,7 +119,7 @@
     assert place(part, "old") == "e"
     listed(state, replace(ENGINE, born=2_000, sequence=1))
     assert place(part, "new") == "e"
-    part.finished(Ended("old", Outcome.FAILED))
+    part.finished(EndedAttempt("old", Outcome.FAILED))
     anew = state.endpoint_state(ENGINE)
     assert anew.in_flight == 1 and anew.failure_rate == 0.0
 
--- a/tests/test_many_boxes.py
+++ b/tests/test_many_boxes.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from stairquay.serving.links import Link
-from stairquay.serving.messages import Ended, OperatorsRequest, Outcome, PartShape, PlaceReply
+from stairquay.serving.messages import EndedAttempt, OperatorsRequest, Outcome, PlaceReply, PromptPart
 from tests.many_boxes import ROUTERS, Router, placed_prompt, routed
 from tests.site import MODEL, SCOPE, Site, eventually
 from tests.standins.dialect import Endpoint
@@ -24,8 +24,8 @@
             assert taken.headers["Kv-Fetch"] == "-,10.0.0.9:1,-"
             assert taken.headers["Kv-Save"] == "10.0.0.8:1,-,-"
             assert (asked.model, asked.tokens, asked.wall) == (MODEL, 900, "")
-            assert asked.parts == (PartShape("aa", 500), PartShape("bb", 300), PartShape("cc", 100))
-            await eventually(lambda: Ended(asked.ticket) in router.ended)
+            assert asked.parts == (PromptPart("aa", 500), PromptPart("bb", 300), PromptPart("cc", 100))
+            await eventually(lambda: EndedAttempt(asked.ticket) in router.ended)
 
     asyncio.run(scenario())
 
@@ -37,10 +37,10 @@
             engine = here.engines()[0]
             engine.break_after = 1
             _, broken = await placed_prompt(here, router, "broken")
-            await eventually(lambda: Ended(broken.ticket, Outcome.FAILED) in router.ended)
+            await eventually(lambda: EndedAttempt(broken.ticket, Outcome.FAILED) in router.ended)
             engine.break_after = None
             _, refused = await placed_prompt(here, router, "refused", before=lambda: refuse_once(engine))
-            await eventually(lambda: Ended(refused.ticket, Outcome.TURNED_AWAY) in router.ended)
+            await eventually(lambda: EndedAttempt(refused.ticket, Outcome.TURNED_AWAY) in router.ended)
 
     def refuse_once(engine: Endpoint) -> None:
         engine.refuse = 1
@@ -55,7 +55,7 @@
             await here.engines()[0].runner.cleanup()
             answer, asked = await placed_prompt(here, router, "dead")
             assert answer.status == 503
-            await eventually(lambda: Ended(asked.ticket, Outcome.UNREACHED) in router.ended)
+            await eventually(lambda: EndedAttempt(asked.ticket, Outcome.UNREACHED) in router.ended)
 
     asyncio.run(scenario())
 
@@ -70,7 +70,7 @@
             leaving.cancel()
             await asyncio.wait([leaving])
             await eventually(lambda: any(item.ticket == "left-1 0" for item in router.ended))
-            assert Ended("left-1 0", Outcome.NOT_SENT) not in router.ended
+            assert EndedAttempt("left-1 0", Outcome.NOT_SENT) not in router.ended
 
     asyncio.run(scenario())
 
--- a/tests/test_reading_once.py
+++ b/tests/test_reading_once.py
@@ -5,18 +5,18 @@
 
 from stairquay.serving.local_router import PREFILL_TIMEOUT_S, LocalRouter
 from stairquay.serving.messages import (
-    Ended,
+    EndedAttempt,
     FinishedNotice,
     Outcome,
-    PartShape,
     PlaceReply,
     PlaceRequest,
+    PromptPart,
 )
 from tests.many_boxes import ROUTERS, routed, routing
 from tests.site import SCOPE, eventually
 from tests.test_choosing import router_state
 
-PARTS = (PartShape("aa", 8_000), PartShape("bb", 300), PartShape("own", 100))
+PARTS = (PromptPart("aa", 8_000), PromptPart("bb", 300), PromptPart("own", 100))
 
 
 def question(ticket: str, **fields) -> PlaceRequest:
@@ -46,14 +46,14 @@
     part = LocalRouter(router_state(4), Random(1))
     part.place(question("t0"))
     assert part.place(question("t1")).again_s == 0
-    part.finished(Ended("t1"))
-    small = (PartShape("aa", 8_000), PartShape("cc", 300), PartShape("own", 100))
+    part.finished(EndedAttempt("t1"))
+    small = (PromptPart("aa", 8_000), PromptPart("cc", 300), PromptPart("own", 100))
     part.prefill_finished("t0")
     assert part.place(question("t2", parts=small, may_wait=True)).again_s == 0
     for outcome in (Outcome.NOT_SENT, Outcome.TURNED_AWAY, Outcome.FAILED, Outcome.UNREACHED):
         other = LocalRouter(router_state(1), Random(1))
         other.place(question("t0"))
-        other.finished(Ended("t0", outcome))
+        other.finished(EndedAttempt("t0", outcome))
         assert other.place(question("t1", may_wait=True)).again_s == 0
 
 
--- a/tests/test_router_box.py
+++ b/tests/test_router_box.py
@@ -5,13 +5,13 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.serving.links import Link
 from stairquay.serving.messages import (
-    Ended,
+    EndedAttempt,
     EndpointsRequest,
     FinishedNotice,
     OperatorsRequest,
     Outcome,
-    PartShape,
     PlaceRequest,
+    PromptPart,
 )
 from tests.many_boxes import routing
 from tests.site import MODEL, SCOPE, Site, eventually, route
@@ -21,7 +21,7 @@
 
 
 def question(ticket: str, **fields) -> PlaceRequest:
-    parts = (PartShape("aa", 500), PartShape("bb", 300), PartShape("cc", 100))
+    parts = (PromptPart("aa", 500), PromptPart("bb", 300), PromptPart("cc", 100))
     base = {"service": "llm", "model": MODEL, "parts": parts, "tokens": 900, "max_output": 20}
     return PlaceRequest(**(base | {"ticket": ticket, "box": "box-9", "wall": "", "tried": ()} | fields))
 
@@ -43,12 +43,12 @@
     began = monotonic()
     first = [await link.place(question(f"{name} r{n}"), 1.0) for n in range(3 * SLOTS)]
     counts = [[reply.endpoint for reply in first].count(engine.id) for engine in here.engines()]
-    ended = tuple(Ended(f"{name} r{n}") for n, reply in enumerate(first) if reply.endpoint == "e-1")
+    ended = tuple(EndedAttempt(f"{name} r{n}") for n, reply in enumerate(first) if reply.endpoint == "e-1")
     await link.finished(FinishedNotice(ended), 1.0)
     again = [(await link.place(question(f"{name} q{n}"), 1.0)).endpoint for n in range(SLOTS)]
     took_s = monotonic() - began
     names = [f"{name} r{n}" for n in range(3 * SLOTS)] + [f"{name} q{n}" for n in range(SLOTS)]
-    await link.finished(FinishedNotice(tuple(Ended(ticket) for ticket in names)), 1.0)
+    await link.finished(FinishedNotice(tuple(EndedAttempt(ticket) for ticket in names)), 1.0)
     return counts, again, took_s
 
 
@@ -75,7 +75,7 @@
             for number in range(4):
                 reply = await link.place(question(f"r{number}", tried=("e-1",)), 1.0)
                 assert reply.endpoint == "e-0"
-                await link.finished(FinishedNotice((Ended(f"r{number}", Outcome.FAILED),)), 1.0)
+                await link.finished(FinishedNotice((EndedAttempt(f"r{number}", Outcome.FAILED),)), 1.0)
             placed = [(await link.place(question(f"q{n}"), 1.0)).endpoint for n in range(4)]
             assert placed == ["e-1"] * 4
 
@@ -91,7 +91,7 @@
             waits = [await link.place(question(f"q{n}", most_backlog_s=0.05), 1.0) for n in range(20)]
             assert all(reply.backlog_s > 0.05 for reply in waits)
             assert waits[-1].backlog_s <= waits[0].backlog_s
-            await link.finished(FinishedNotice((Ended("r0", Outcome.NOT_SENT),)), 1.0)
+            await link.finished(FinishedNotice((EndedAttempt("r0", Outcome.NOT_SENT),)), 1.0)
             assert (await link.place(question("r1", most_backlog_s=0.05), 1.0)).backlog_s < 0.05
 
     asyncio.run(scenario())
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -20,7 +20,7 @@
 from stairquay.serving.following import apply_endpoints
 from stairquay.serving.jobs import Job, Progress
 from stairquay.serving.messages import Outcome
-from stairquay.serving.ports import EndpointChanges, EngineReport, SendFailure, Statement
+from stairquay.serving.ports import EndpointChanges, EngineReport, Feedback, SendFailure
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import apply_feedback, backoffs_by_id, limit_of
 from stairquay.serving.telling import apply_peer_feedback, feedback_for_peers
@@ -30,7 +30,7 @@
 PLAIN = Listed("p", "plain", "10.0.1.2:1", "hall-a", 8)
 
 
-def hears(state: BoxState, said: Statement, ago_s: float = 0.0) -> None:
+def hears(state: BoxState, said: Feedback, ago_s: float = 0.0) -> None:
     """Take in an answer that came so long ago, to a request sent right before."""
     at = monotonic() - ago_s
     apply_feedback(state, PLAIN, state.endpoint_state(PLAIN), said, at, at)
@@ -57,7 +57,7 @@
 
 
 def test_what_an_endpoint_said_holds_where_its_entry_lapses_and_returns():
-    for said in (Statement(leaving=True), Statement(rest_s=30.0)):
+    for said in (Feedback(leaving=True), Feedback(backoff_s=30.0)):
         state = knowing()
         hears(state, said)
         lapse_and_return(state)
@@ -66,7 +66,7 @@
 
 def test_a_limit_holds_where_its_entry_lapses_and_returns():
     state = knowing()
-    hears(state, Statement(limit_per_s=2.0))
+    hears(state, Feedback(limit_per_s=2.0))
     lapse_and_return(state)
     assert limit_of(state.endpoint_state(PLAIN)) == 2.0
 
@@ -74,24 +74,24 @@
 def test_rests_that_overlap_last_until_the_last_one_ends():
     state = knowing()
     for rest_s, ago_s in ((30.0, 3.0), (0.5, 2.0), (0.0, 1.0)):
-        hears(state, Statement(rest_s=rest_s), ago_s)
+        hears(state, Feedback(backoff_s=rest_s), ago_s)
         assert not chosen(state)
 
 
 def test_after_a_rest_one_request_goes_and_its_answer_ends_the_rest_or_prolongs_it():
     state = knowing()
-    hears(state, Statement(rest_s=2.0), 3.0)
+    hears(state, Feedback(backoff_s=2.0), 3.0)
     assert chosen(state)
-    hears(state, Statement(rest_s=2.0), 0.5)
+    hears(state, Feedback(backoff_s=2.0), 0.5)
     assert not chosen(state)
     state = knowing()
-    hears(state, Statement(rest_s=2.0), 3.0)
-    hears(state, Statement(), 0.5)
+    hears(state, Feedback(backoff_s=2.0), 3.0)
+    hears(state, Feedback(), 0.5)
     assert chosen(state) and not state.backing_off
 
 
 def test_a_new_life_under_the_same_id_is_bound_by_nothing_that_the_last_one_said():
-    for said in (Statement(leaving=True), Statement(rest_s=30.0)):
+    for said in (Feedback(leaving=True), Feedback(backoff_s=30.0)):
         state = knowing()
         apply_endpoints(state, EndpointChanges(2, True, (born(1_000),)), monotonic())
         hears(state, said)
@@ -105,7 +105,7 @@
     """Its entry is that of the last life still, which said that it leaves. Found by the soak, seed 5."""
     state, other = knowing(), knowing()
     apply_endpoints(state, EndpointChanges(2, True, (born(1_000),)), monotonic())
-    hears(state, Statement(leaving=True))
+    hears(state, Feedback(leaving=True))
     state.apply_report(state.fleet.by_id[PLAIN.id], EngineReport(born=2_000), monotonic())
     apply_peer_feedback(other, feedback_for_peers(state, monotonic()), monotonic())
     apply_endpoints(other, EndpointChanges(3, True, (born(2_000),)), monotonic())
@@ -115,7 +115,7 @@
 class LateNews:
     """Ports of a request that learns, while its connection opens, what its endpoint said of its use."""
 
-    def __init__(self, state: BoxState, said: Statement) -> None:
+    def __init__(self, state: BoxState, said: Feedback) -> None:
         self.state, self.said = state, said
         self.may_go: list[bool] = []
 
@@ -140,7 +140,7 @@
 def test_a_request_is_stopped_right_before_its_bytes_leave_where_its_endpoint_leaves_or_rests_by_then():
     route = Route("plain", "svc", "/", (), timeout_s=5.0)
     call = Call("call-1", "GET", "svc", "/x", "/x", ())
-    for said, goes in ((Statement(), True), (Statement(leaving=True), False), (Statement(rest_s=9), False)):
+    for said, goes in ((Feedback(), True), (Feedback(leaving=True), False), (Feedback(backoff_s=9), False)):
         state = knowing()
         ports = LateNews(state, said)
         now = monotonic()
--- a/tests/test_statements_read.py
+++ b/tests/test_statements_read.py
@@ -10,12 +10,12 @@
 
 from stairquay.core.rest import MAX_BACKOFF_S, PROBE_INTERVAL_S, Backoff, parse_retry_after
 from stairquay.platform.statements import statement
-from stairquay.serving.ports import Statement, Topic
+from stairquay.serving.ports import Feedback, Topic
 
 NOON = datetime(2026, 1, 5, 12, 0, tzinfo=UTC)
 
 
-def said(status: int = 503, *headers: tuple[str, str]) -> Statement:
+def said(status: int = 503, *headers: tuple[str, str]) -> Feedback:
     return statement(CIMultiDictProxy(CIMultiDict(headers)), status)
 
 
@@ -64,18 +64,18 @@
 def test_a_date_counts_by_the_clock_of_who_wrote_it():
     until = format_datetime(NOON + timedelta(seconds=7), usegmt=True)
     date = format_datetime(NOON, usegmt=True)
-    assert said(503, ("Retry-After", until), ("Date", date)).rest_s == 7
+    assert said(503, ("Retry-After", until), ("Date", date)).backoff_s == 7
 
 
 def test_only_an_answer_that_turns_a_request_away_asks_for_rest():
-    assert [said(status, ("Retry-After", "3")).rest_s for status in (200, 429, 500, 503)] == [0, 0, 0, 3]
+    assert [said(status, ("Retry-After", "3")).backoff_s for status in (200, 429, 500, 503)] == [0, 0, 0, 3]
 
 
 def test_of_several_statements_the_strictest_holds():
     limits = ("Server-Limit", "4"), ("Server-Limit", "2"), ("Server-Limit", "odd")
     rests = ("Retry-After", "1"), ("Retry-After", "2.5"), ("Retry-After", "odd")
     leaving = ("Server-Leaving", "odd"), ("Server-Leaving", "1")
-    assert said(503, *limits, *rests, *leaving) == Statement(2.0, True, 2.5)
+    assert said(503, *limits, *rests, *leaving) == Feedback(2.0, True, 2.5)
 
 
 @pytest.mark.parametrize("text", ["", "0", "yes", "true", "2", "11"])
@@ -85,7 +85,7 @@
 
 
 def test_an_answer_without_statements_says_nothing():
-    assert said(503) == Statement()
+    assert said(503) == Feedback()
 
 
 def test_after_a_rest_one_request_goes_and_others_wait_for_it():
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -50,7 +50,7 @@
 
 
 async def take_rows(table: TableService, boxes: BoxList) -> None:
-    found = await boxes.own.under(PREFIX)
+    found = await boxes.own.list_prefix(PREFIX)
     boxes._take(found.ok_value)
 
 
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -10,7 +10,7 @@
 from stairquay.serving.following import apply_operators
 from stairquay.serving.links import Links
 from stairquay.serving.local_router import LocalRouter
-from stairquay.serving.messages import Ended, FinishedNotice, Nothing, OperatorsRequest
+from stairquay.serving.messages import Empty, EndedAttempt, FinishedNotice, OperatorsRequest
 from stairquay.serving.notices import NoticeSender
 from stairquay.serving.ports import OperatorChanges
 from stairquay.serving.state import BoxState
@@ -80,12 +80,12 @@
         self.channels = channels
         self.address = address
 
-    async def finished(self, notice: FinishedNotice, limit_s: float) -> Nothing | None:
+    async def finished(self, notice: FinishedNotice, limit_s: float) -> Empty | None:
         if self.address in self.channels.silent:
             await asyncio.sleep(0.05)
             return None
         self.channels.told.append((self.address, notice))
-        return Nothing()
+        return Empty()
 
 
 def test_what_has_ended_is_told_soon_and_a_silent_router_hears_it_once_it_may_be_asked_again(monkeypatch):
@@ -100,12 +100,12 @@
         notices = NoticeSender(state, channels, LocalRouter(state, None))
         telling = asyncio.create_task(notices.run())
         await asyncio.sleep(0.05)
-        notices.add_ended(first, Ended("t-1"))
-        notices.add_ended(second, Ended("t-2"))
-        await eventually(lambda: ("one", FinishedNotice((Ended("t-1"),), ())) in channels.told, 2.0)
+        notices.add_ended(first, EndedAttempt("t-1"))
+        notices.add_ended(second, EndedAttempt("t-2"))
+        await eventually(lambda: ("one", FinishedNotice((EndedAttempt("t-1"),), ())) in channels.told, 2.0)
         await eventually(lambda: state.suspected_until_by_id, 2.0)
         channels.silent.clear()
-        await eventually(lambda: ("two", FinishedNotice((Ended("t-2"),), ())) in channels.told, 2.0)
+        await eventually(lambda: ("two", FinishedNotice((EndedAttempt("t-2"),), ())) in channels.told, 2.0)
         assert not notices.ended_by_router and not notices.sending_by_router
         telling.cancel()
 
