--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -24,7 +24,7 @@
 from stairquay.serving.event_log import EventLog, LogEvent
 from stairquay.serving.following import follow_endpoints, follow_operators
 from stairquay.serving.front import Front
-from stairquay.serving.links import Links
+from stairquay.serving.links import RouterClients
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.notices import NoticeSender
 from stairquay.serving.orders import OrderGiver
@@ -70,7 +70,7 @@
     state.boxes = (settings.id,)
     surroundings = open_surroundings()
     chance = random.Random()
-    links = Links(state)
+    links = RouterClients(state)
     router = LocalRouter(state, chance)
     notices = NoticeSender(state, links, router)
     chooser = Chooser(state, links, router, notices, chance)
@@ -91,14 +91,14 @@
     log.line(LogEvent.STOP, in_flight=state.in_flight)
     log.flush()
     await tasks.cancel()
-    await links.keep_only(())
+    await links.close_others(())
     await surroundings.close()
 
 
 def box_parts(
     state: BoxState,
     surroundings: Ports,
-    links: Links,
+    links: RouterClients,
     router: LocalRouter,
     notices: NoticeSender,
     chance: random.Random,
--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -19,7 +19,7 @@
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.event_log import LogEvent
 from stairquay.serving.jobs import Job, Progress
-from stairquay.serving.links import Links
+from stairquay.serving.links import RouterClients
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import EndedAttempt, Outcome, PlaceReply, PlaceRequest, PromptPart
 from stairquay.serving.notices import NoticeSender
@@ -46,7 +46,12 @@
     """Chooses endpoints with the help of routers, and tells them when requests end."""
 
     def __init__(
-        self, state: BoxState, links: Links, local_router: LocalRouter, notices: NoticeSender, random: Random
+        self,
+        state: BoxState,
+        links: RouterClients,
+        local_router: LocalRouter,
+        notices: NoticeSender,
+        random: Random,
     ) -> None:
         self.state = state
         self.links = links
@@ -172,8 +177,8 @@
     async def _ask(self, router: Member, request: PlaceRequest) -> PlaceReply | None:
         if router.id == self.state.settings.id:
             return self.local_router.place(request)
-        answer = await self.links.to(router).place(request, ROUTER_TIMEOUT_S)
-        reply = self.links.heard(router, answer, "where a prompt runs")
+        answer = await self.links.client_for(router).place(request, ROUTER_TIMEOUT_S)
+        reply = self.links.record_answer(router, answer, "where a prompt runs")
         if reply is None:
             # It may have placed the prompt and only answered too late.
             self.notices.add_ended(router, EndedAttempt(request.ticket, Outcome.NOT_SENT))
--- a/stairquay/serving/links.py
+++ b/stairquay/serving/links.py
@@ -31,22 +31,22 @@
 
 SERVICE = "stairquay.Boxes"
 
-PROBE_MS = 1_000
+KEEPALIVE_INTERVAL_MS = 1_000
 """Milliseconds between two probes of an idle channel."""
 
-PROBE_ANSWER_MS = 500
+KEEPALIVE_TIMEOUT_MS = 500
 """Milliseconds after which an unanswered probe ends a channel: a box without power says nothing."""
 
 SUSPECT_S = 1.0
 """Seconds for which a router that did not answer is passed over."""
 
-LINK_OPTIONS: list[tuple[str, Any]] = [
+GRPC_OPTIONS: list[tuple[str, Any]] = [
     *CHANNEL_OPTIONS,
-    ("grpc.keepalive_time_ms", PROBE_MS),
-    ("grpc.keepalive_timeout_ms", PROBE_ANSWER_MS),
+    ("grpc.keepalive_time_ms", KEEPALIVE_INTERVAL_MS),
+    ("grpc.keepalive_timeout_ms", KEEPALIVE_TIMEOUT_MS),
     ("grpc.keepalive_permit_without_calls", 1),
     ("grpc.http2.max_pings_without_data", 0),
-    ("grpc.http2.min_recv_ping_interval_without_data_ms", PROBE_MS // 2),
+    ("grpc.http2.min_recv_ping_interval_without_data_ms", KEEPALIVE_INTERVAL_MS // 2),
     ("grpc.so_reuseport", 0),
 ]
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class Answers:
+class RouterHandlers:
     """What a router answers, by kind of question."""
 
     place: Callable[[PlaceRequest], Awaitable[PlaceReply]]
@@ -65,17 +65,17 @@
     views: Callable[[ViewsRequest], Awaitable[ViewsReply]]
 
 
-async def serve(address: str, answers: Answers) -> grpc.aio.Server:
+async def serve(address: str, handlers: RouterHandlers) -> grpc.aio.Server:
     """Serve other boxes at an address; raises OSError where it is taken."""
-    server = grpc.aio.server(options=LINK_OPTIONS)
-    handlers = {
-        "Place": _handler(answers.place, PlaceRequest),
-        "Finished": _handler(answers.finished, FinishedNotice),
-        "Operators": _handler(answers.operators, OperatorsRequest),
-        "Endpoints": _handler(answers.endpoints, EndpointsRequest),
-        "Views": _handler(answers.views, ViewsRequest),
+    server = grpc.aio.server(options=GRPC_OPTIONS)
+    methods = {
+        "Place": _handler(handlers.place, PlaceRequest),
+        "Finished": _handler(handlers.finished, FinishedNotice),
+        "Operators": _handler(handlers.operators, OperatorsRequest),
+        "Endpoints": _handler(handlers.endpoints, EndpointsRequest),
+        "Views": _handler(handlers.views, ViewsRequest),
     }
-    server.add_generic_rpc_handlers((grpc.method_handlers_generic_handler(SERVICE, handlers),))
+    server.add_generic_rpc_handlers((grpc.method_handlers_generic_handler(SERVICE, methods),))
     try:
         bound = server.add_insecure_port(address)
     except RuntimeError as error:
@@ -86,43 +86,43 @@
     return server
 
 
-class Link:
+class RouterClient:
     """A channel to one router. Calls give None where the router does not answer in time."""
 
     def __init__(self, address: str) -> None:
-        self.channel = grpc.aio.insecure_channel(address, options=LINK_OPTIONS)
-        self._place = self._call("Place", PlaceReply)
-        self._finished = self._call("Finished", Empty)
-        self._operators = self._call("Operators", OperatorsReply)
-        self._endpoints = self._call("Endpoints", EndpointsReply)
-        self._views = self._call("Views", ViewsReply)
+        self.channel = grpc.aio.insecure_channel(address, options=GRPC_OPTIONS)
+        self._place = self._method("Place", PlaceReply)
+        self._finished = self._method("Finished", Empty)
+        self._operators = self._method("Operators", OperatorsReply)
+        self._endpoints = self._method("Endpoints", EndpointsReply)
+        self._views = self._method("Views", ViewsReply)
 
     async def place(self, request: PlaceRequest, limit_s: float) -> PlaceReply | None:
         """Ask where a prompt should run."""
-        return await _answered(self._place(request, timeout=limit_s))
+        return await _reply_or_none(self._place(request, timeout=limit_s))
 
     async def finished(self, notice: FinishedNotice, limit_s: float) -> Empty | None:
         """Tell which requests have ended."""
-        return await _answered(self._finished(notice, timeout=limit_s))
+        return await _reply_or_none(self._finished(notice, timeout=limit_s))
 
     async def operators(self, request: OperatorsRequest, limit_s: float) -> OperatorsReply | None:
         """Ask for the router's view of operators' rows."""
-        return await _answered(self._operators(request, timeout=request.wait_s + limit_s))
+        return await _reply_or_none(self._operators(request, timeout=request.wait_s + limit_s))
 
     async def endpoints(self, request: EndpointsRequest, limit_s: float) -> EndpointsReply | None:
         """Ask for the router's view of the list of endpoints."""
-        return await _answered(self._endpoints(request, timeout=request.wait_s + limit_s))
+        return await _reply_or_none(self._endpoints(request, timeout=request.wait_s + limit_s))
 
     async def views(self, request: ViewsRequest, limit_s: float) -> ViewsReply | None:
         """Ask for both views as soon as one of them changes."""
         wait_s = max(request.operators.wait_s, request.endpoints.wait_s)
-        return await _answered(self._views(request, timeout=wait_s + limit_s))
+        return await _reply_or_none(self._views(request, timeout=wait_s + limit_s))
 
     async def close(self) -> None:
         """Free the connection."""
         await self.channel.close()
 
-    def _call(self, name: str, reply: type[Any]) -> Callable[..., Awaitable[Any]]:
+    def _method(self, name: str, reply: type[Any]) -> Callable[..., Awaitable[Any]]:
         call: Callable[..., Awaitable[Any]] = self.channel.unary_unary(
             f"/{SERVICE}/{name}",
             request_serializer=msgspec.msgpack.encode,
@@ -131,32 +131,32 @@
         return call
 
 
-class Links:
+class RouterClients:
     """Open channels to routers, and which of them lately did not answer."""
 
     def __init__(self, state: BoxState) -> None:
         self.state = state
-        self.links_by_address: dict[str, Link] = {}
-        self.lost: set[str] = set()
+        self.clients_by_address: dict[str, RouterClient] = {}
+        self.lost_ids: set[str] = set()
 
-    def to(self, router: Member) -> Link:
+    def client_for(self, router: Member) -> RouterClient:
         """Return the channel to a router."""
-        link = self.links_by_address.get(router.address)
-        if link is None:
-            link = self.links_by_address[router.address] = Link(router.address)
-        return link
+        client = self.clients_by_address.get(router.address)
+        if client is None:
+            client = self.clients_by_address[router.address] = RouterClient(router.address)
+        return client
 
-    def heard(self, router: Member, answer: Reply | None, question: str) -> Reply | None:
+    def record_answer(self, router: Member, answer: Reply | None, question: str) -> Reply | None:
         """Note whether a router answered, and return its answer. One that did not is passed over a while."""
         if answer is not None:
-            if router.id in self.lost:
-                self.lost.remove(router.id)
+            if router.id in self.lost_ids:
+                self.lost_ids.remove(router.id)
                 self._log(router, "regained", question)
             return answer
         self.state.suspect(router.id, SUSPECT_S)
         self.state.metrics.silent_routers.inc()
-        if router.id not in self.lost:
-            self.lost.add(router.id)
+        if router.id not in self.lost_ids:
+            self.lost_ids.add(router.id)
             self._log(router, "lost", question)
         return None
 
@@ -168,22 +168,22 @@
         """Close the channels to boxes that are routers no longer, until cancelled."""
         while True:
             kept = self.state.routers
-            await self.keep_only(kept)
+            await self.close_others(kept)
             while self.state.routers == kept:
                 await self.state.changed.wait()
 
-    async def keep_only(self, routers: tuple[Member, ...]) -> None:
+    async def close_others(self, routers: tuple[Member, ...]) -> None:
         """Close the channels to boxes that are routers no longer."""
         wanted = {router.address for router in routers}
-        for address in set(self.links_by_address) - wanted:
-            await self.links_by_address.pop(address).close()
+        for address in set(self.clients_by_address) - wanted:
+            await self.clients_by_address.pop(address).close()
         ids = {router.id for router in routers}
         for known in set(self.state.suspected_until_by_id) - ids:
             del self.state.suspected_until_by_id[known]
-        self.lost &= ids
+        self.lost_ids &= ids
 
 
-async def _answered(call: Awaitable[Reply]) -> Reply | None:
+async def _reply_or_none(call: Awaitable[Reply]) -> Reply | None:
     try:
         return await call
     except grpc.aio.AioRpcError:
--- a/stairquay/serving/local_router.py
+++ b/stairquay/serving/local_router.py
@@ -22,7 +22,7 @@
 from stairquay.serving.endpoint import BUSY_BACKOFF_S, EndpointState
 from stairquay.serving.endpoint_choice import Choice, ChoiceRequest
 from stairquay.serving.event_log import LogEvent
-from stairquay.serving.links import Answers, serve
+from stairquay.serving.links import RouterHandlers, serve
 from stairquay.serving.messages import (
     Empty,
     EndedAttempt,
@@ -256,7 +256,7 @@
 
     async def _open(self) -> None:
         address = self.state.settings.peer_address
-        answers = Answers(
+        answers = RouterHandlers(
             self._on_place, self._on_finished, self._on_operators, self._on_endpoints, self._on_views
         )
         try:
--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -9,7 +9,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.routers import Member
 from stairquay.serving.change_notifier import ChangeNotifier
-from stairquay.serving.links import Links
+from stairquay.serving.links import RouterClients
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import EndedAttempt, FinishedNotice
 from stairquay.serving.state import BoxState
@@ -31,7 +31,7 @@
 class NoticeSender:
     """Queues ended and prefilled prompts by router, and sends them in notices."""
 
-    def __init__(self, state: BoxState, links: Links, local_router: LocalRouter) -> None:
+    def __init__(self, state: BoxState, links: RouterClients, local_router: LocalRouter) -> None:
         self.state = state
         self.links = links
         self.local_router = local_router
@@ -117,11 +117,11 @@
 
     async def _send(self, router: Member, notice: FinishedNotice) -> None:
         try:
-            answer = await self.links.to(router).finished(notice, NOTICE_TIMEOUT_S)
+            answer = await self.links.client_for(router).finished(notice, NOTICE_TIMEOUT_S)
         finally:
             del self.sending_by_router[router]
             self.queue_changed.notify_all()
-        if self.links.heard(router, answer, "ended prompts") is None:
+        if self.links.record_answer(router, answer, "ended prompts") is None:
             # Retried once the router is back; notices are idempotent.
             for item in notice.ended:
                 self.add_ended(router, item)
--- a/stairquay/serving/sharing.py
+++ b/stairquay/serving/sharing.py
@@ -14,7 +14,7 @@
 from stairquay.adapters.clock import monotonic
 from stairquay.core.crashes import Crash
 from stairquay.core.routers import routers_for
-from stairquay.serving.links import Link, Links
+from stairquay.serving.links import RouterClient, RouterClients
 from stairquay.serving.messages import (
     EndpointsReply,
     EndpointsRequest,
@@ -53,7 +53,7 @@
     operators_from_router: the current view of operators' rows came from a router.
     """
 
-    def __init__(self, state: BoxState, feeds: Feeds, links: Links) -> None:
+    def __init__(self, state: BoxState, feeds: Feeds, links: RouterClients) -> None:
         self.state = state
         self.feeds = feeds
         self.links = links
@@ -173,11 +173,13 @@
         settings = self.state.settings
         return min(settings.apply_s, settings.drain_s, settings.evacuate_s)
 
-    async def _request(self, ask: Callable[[Link], Awaitable[Reply | None]], question: str) -> Reply | None:
+    async def _request(
+        self, ask: Callable[[RouterClient], Awaitable[Reply | None]], question: str
+    ) -> Reply | None:
         """Call the nearest follower; return None if this box is a follower, or without a reply."""
         if self.state.is_follower:
             return None
         router = next(iter(routers_for(self.state.member, self.state.following_routers())), None)
         if router is None:
             return None
-        return self.links.heard(router, await ask(self.links.to(router)), question)
+        return self.links.record_answer(router, await ask(self.links.client_for(router)), question)
--- a/tests/many_boxes.py
+++ b/tests/many_boxes.py
@@ -9,7 +9,7 @@
 
 from aiohttp import ClientSession, ClientTimeout
 
-from stairquay.serving.links import Answers, Link, serve
+from stairquay.serving.links import RouterClient, RouterHandlers, serve
 from stairquay.serving.messages import (
     Empty,
     EndedAttempt,
@@ -52,8 +52,8 @@
     ended: list[EndedAttempt] = field(default_factory=list)
     read: list[str] = field(default_factory=list)
 
-    def answers(self) -> Answers:
-        return Answers(self.place, self.finished, self.operators, self.endpoints, self.views)
+    def answers(self) -> RouterHandlers:
+        return RouterHandlers(self.place, self.finished, self.operators, self.endpoints, self.views)
 
     async def place(self, asked: PlaceRequest) -> PlaceReply:
         self.asked.append(asked)
@@ -141,13 +141,13 @@
 
 
 @asynccontextmanager
-async def routing(**options) -> AsyncIterator[tuple[Site, Link]]:
+async def routing(**options) -> AsyncIterator[tuple[Site, RouterClient]]:
     """A box that is a router, and a channel to it."""
     async with site(ready=False, **options) as here:
         add_boxes(here)
         await here.until_ready()
         await eventually(lambda: here.logged("router", outcome="serving"))
-        link = Link(here.peer_address)
+        link = RouterClient(here.peer_address)
         try:
             yield here, link
         finally:
--- a/tests/test_idle_box.py
+++ b/tests/test_idle_box.py
@@ -14,7 +14,7 @@
 from stairquay.serving.app import box_parts
 from stairquay.serving.event_log import EventLog
 from stairquay.serving.following import apply_endpoints, apply_operators
-from stairquay.serving.links import Links
+from stairquay.serving.links import RouterClients
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import EndpointsRequest, OperatorsRequest, ViewsRequest
 from stairquay.serving.notices import NoticeSender
@@ -99,7 +99,7 @@
     async def scenario() -> float:
         state = BoxState(settings, EventLog(settings.id, write=len))
         surroundings = Ports(HeldFeeds(), Rows(), None, None, None, "", None, HeldCrashes())
-        links, router = Links(state), LocalRouter(state, Random(1))
+        links, router = RouterClients(state), LocalRouter(state, Random(1))
         notices = NoticeSender(state, links, router)
         parts = box_parts(state, surroundings, links, router, notices, Random(1))
         tasks = [asyncio.create_task(part()) for part in parts.values()]
--- a/tests/test_many_boxes.py
+++ b/tests/test_many_boxes.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from stairquay.serving.links import Link
+from stairquay.serving.links import RouterClient
 from stairquay.serving.messages import EndedAttempt, OperatorsRequest, Outcome, PlaceReply, PromptPart
 from tests.many_boxes import ROUTERS, Router, placed_prompt, routed
 from tests.site import MODEL, SCOPE, Site, eventually
@@ -188,7 +188,7 @@
     async def scenario():
         async with routed() as (_, router):
             router.silent = True
-            link = Link(router.address)
+            link = RouterClient(router.address)
             asking = asyncio.create_task(link.operators(OperatorsRequest(0, 5.0), 5.0))
             await asyncio.sleep(0.3)
             await link.close()
--- a/tests/test_router_box.py
+++ b/tests/test_router_box.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from stairquay.adapters.clock import monotonic
-from stairquay.serving.links import Link
+from stairquay.serving.links import RouterClient
 from stairquay.serving.messages import (
     EndedAttempt,
     EndpointsRequest,
@@ -37,7 +37,7 @@
 """Seconds after which nothing of a round counts any more."""
 
 
-async def _round(here: Site, link: Link, name: str) -> tuple[list[int], list[str], float]:
+async def _round(here: Site, link: RouterClient, name: str) -> tuple[list[int], list[str], float]:
     """Fill three engines, empty one, and fill it again. Return the counts of the first by engine, the engines
     of the last, and the seconds that it took."""
     began = monotonic()
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -8,7 +8,7 @@
 from stairquay.core.routers import Member
 from stairquay.serving.change_notifier import ChangeNotifier
 from stairquay.serving.following import apply_operators
-from stairquay.serving.links import Links
+from stairquay.serving.links import RouterClients
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import Empty, EndedAttempt, FinishedNotice, OperatorsRequest
 from stairquay.serving.notices import NoticeSender
@@ -64,15 +64,15 @@
     """Stands for the channels to routers: notes what they are told. `silent`: addresses without answer."""
 
     def __init__(self, state: BoxState) -> None:
-        self.links = Links(state)
+        self.links = RouterClients(state)
         self.silent: set[str] = set()
         self.told: list[tuple[str, FinishedNotice]] = []
 
-    def to(self, router: Member) -> "Channel":
+    def client_for(self, router: Member) -> "Channel":
         return Channel(self, router.address)
 
-    def heard(self, router, answer, question):
-        return self.links.heard(router, answer, question)
+    def record_answer(self, router, answer, question):
+        return self.links.record_answer(router, answer, question)
 
 
 class Channel:
