--- a/stairquay/serving/following.py
+++ b/stairquay/serving/following.py
@@ -18,29 +18,29 @@
 
 Changes = TypeVar("Changes", OperatorChanges, EndpointChanges)
 
-WAIT_S = 0.7
+LONG_POLL_S = 0.7
 """Seconds for which a call waits for changes: the view's age stays below it while the service answers,
 and one lost answer does not make the view too old."""
 
-ROUTER_WAIT_S = 0.35
+ROUTER_LONG_POLL_S = 0.35
 """The same for a router, whose view others rest on: it is half as old."""
 
-AGAIN_S = 0.25
+RETRY_S = 0.25
 """Seconds before a call that got no answer is made again: calls to a service that is down are priced, too."""
 
-ROUTED_AGAIN_S = 1.0
+ROUTED_RETRY_S = 1.0
 """The same for a box that asks routers: they ask again sooner, and it asks them first each time."""
 
-SINGLE_MISSES = 2
+MAX_QUICK_RETRIES = 2
 """Calls without an answer after which that longer pause is made; sooner, a change could be known too late."""
 
-LIST_WHOLE_S = 4.0
+LIST_SNAPSHOT_INTERVAL_S = 4.0
 """Seconds between two whole reads of the list of endpoints. Entries that lapsed during an outage came back
 without a change in the feed, and only whole reads find them; while some are missing, each read is whole. A
 router that passes its list on does that for the boxes that ask it: with whole reads of their own, which no
 router holds, each of them would ask some hundred times a second."""
 
-OPERATORS_WHOLE_S = 8.0
+OPERATORS_SNAPSHOT_INTERVAL_S = 8.0
 """Seconds between two whole reads of operators' rows, twice LIST_WHOLE_S: every call is priced."""
 
 LIST_PAUSE_S = 0.6
@@ -59,14 +59,14 @@
 
     await _follow(
         state,
-        Followed(
+        Feed(
             name="operators",
             read=feeds.read_operators,
             follow=feeds.follow_operators,
             apply=apply,
-            unreached=lambda: None,
-            whole_now=lambda: False,
-            whole_s=OPERATORS_WHOLE_S,
+            on_unreachable=lambda: None,
+            snapshot_needed=lambda: False,
+            snapshot_interval_s=OPERATORS_SNAPSHOT_INTERVAL_S,
             pause_s=lambda: 0.0,
         ),
     )
@@ -78,26 +78,26 @@
     def apply(changes: EndpointChanges, asked_at: float) -> None:
         apply_endpoints(state, changes, asked_at)
 
-    def unreached() -> None:
+    def on_unreachable() -> None:
         state.list_unreachable_at = monotonic()
 
     await _follow(
         state,
-        Followed(
+        Feed(
             name="endpoints",
             read=feeds.read_endpoints,
             follow=feeds.follow_endpoints,
             apply=apply,
-            unreached=unreached,
-            whole_now=lambda: bool(state.fleet.missing_since_by_id) and not state.list_from_router,
-            whole_s=LIST_WHOLE_S,
+            on_unreachable=on_unreachable,
+            snapshot_needed=lambda: bool(state.fleet.missing_since_by_id) and not state.list_from_router,
+            snapshot_interval_s=LIST_SNAPSHOT_INTERVAL_S,
             pause_s=lambda: _list_pause_s(state),
         ),
     )
 
 
 @dataclass(frozen=True)
-class Followed(Generic[Changes]):
+class Feed(Generic[Changes]):
     """One thing that is followed in the table service.
 
     apply takes the changes and when their question was asked. unreached hears that the table service itself
@@ -109,46 +109,48 @@
     read: Callable[[], Awaitable[Result[Changes, FeedFault]]]
     follow: Callable[[int, float], Awaitable[Result[Changes, FeedFault]]]
     apply: Callable[[Changes, float], None]
-    unreached: Callable[[], None]
-    whole_now: Callable[[], bool]
-    whole_s: float
+    on_unreachable: Callable[[], None]
+    snapshot_needed: Callable[[], bool]
+    snapshot_interval_s: float
     pause_s: Callable[[], float]
 
 
-async def _follow(state: BoxState, followed: Followed[Changes]) -> None:
+async def _follow(state: BoxState, feed: Feed[Changes]) -> None:
     """Read everything, then follow its changes; read everything again from time to time."""
     revision: int | None = None
-    read_at = float("-inf")
+    snapshot_at = float("-inf")
     lost = False
-    missed = 0
+    failures = 0
     while True:
         asked_at = monotonic()
-        whole = revision is None or followed.whole_now() or asked_at - read_at > followed.whole_s
-        wait_s = ROUTER_WAIT_S if state.is_follower else WAIT_S
-        answer = await (followed.read() if whole or revision is None else followed.follow(revision, wait_s))
+        whole = (
+            revision is None or feed.snapshot_needed() or asked_at - snapshot_at > feed.snapshot_interval_s
+        )
+        wait_s = ROUTER_LONG_POLL_S if state.is_follower else LONG_POLL_S
+        answer = await (feed.read() if whole or revision is None else feed.follow(revision, wait_s))
         outcome = answer.err_value.value if isinstance(answer, Err) else "ok"
-        state.metrics.table_calls.labels(followed.name, outcome).inc()
+        state.metrics.table_calls.labels(feed.name, outcome).inc()
         if isinstance(answer, Err):
             if answer.err_value == FeedFault.HISTORY_GONE:
                 revision = None
                 continue
-            followed.unreached()
-            lost = _lost(state, followed.name, lost)
-            missed += 1
-            await asyncio.sleep(again_s(state, missed))
+            feed.on_unreachable()
+            lost = _log_lost(state, feed.name, lost)
+            failures += 1
+            await asyncio.sleep(retry_pause_s(state, failures))
             continue
-        missed = 0
-        lost = _regained(state, followed.name, lost)
-        followed.apply(answer.ok_value, asked_at)
+        failures = 0
+        lost = _log_regained(state, feed.name, lost)
+        feed.apply(answer.ok_value, asked_at)
         revision = answer.ok_value.revision
-        read_at = asked_at if whole else read_at
-        await asyncio.sleep(followed.pause_s())
+        snapshot_at = asked_at if whole else snapshot_at
+        await asyncio.sleep(feed.pause_s())
 
 
-def again_s(state: BoxState, missed: int) -> float:
+def retry_pause_s(state: BoxState, failures: int) -> float:
     """Return the pause before a call to the table service is made again after so many without an answer."""
-    beside_routers = bool(state.routers) and not state.is_follower
-    return ROUTED_AGAIN_S if beside_routers and missed > SINGLE_MISSES else AGAIN_S
+    uses_routers = bool(state.routers) and not state.is_follower
+    return ROUTED_RETRY_S if uses_routers and failures > MAX_QUICK_RETRIES else RETRY_S
 
 
 def _list_pause_s(state: BoxState) -> float:
@@ -162,10 +164,10 @@
     """Put a newer configuration in force, and note newly named versions."""
     if changes.unreadable:
         state.log.line(LogEvent.CONFIGURATION, outcome="kept", unreadable=changes.unreadable)
-    before = _operators_view(state)
+    before = _operators_state(state)
     apply_evacuations(state, changes)
     if changes.catalog is not None:
-        _put_in_force(state, changes.catalog)
+        _apply_catalog(state, changes.catalog)
     if state.view_asked_at == NEVER:
         state.target_versions_at_start = dict(changes.versions_by_model)
     # A version may have been named as soon as the last view was asked for that did not show it.
@@ -175,7 +177,7 @@
         if version > state.target_version_by_model.get(model, 0):
             state.target_version_by_model[model] = version
             state.record_target_version(model, version, named_at, "operators")
-    after = _operators_view(state)
+    after = _operators_state(state)
     if before != after:
         state.operators_changed_revision = changes.revision
     state.operators_revision = changes.revision
@@ -184,21 +186,21 @@
         state.changed.notify_all()
 
 
-def _operators_view(state: BoxState) -> tuple[int | None, dict[str, int], frozenset[str]]:
+def _operators_state(state: BoxState) -> tuple[int | None, dict[str, int], frozenset[str]]:
     version = None if state.catalog is None else state.catalog.version
     return version, dict(state.target_version_by_model), state.evacuated
 
 
-def _put_in_force(state: BoxState, catalog: Catalog) -> None:
-    held = state.catalog
-    if held is not None and catalog.version <= held.version:
+def _apply_catalog(state: BoxState, catalog: Catalog) -> None:
+    previous = state.catalog
+    if previous is not None and catalog.version <= previous.version:
         return
     state.catalog = catalog
     state.log.line(
         LogEvent.CONFIGURATION,
         outcome="in_force",
         version=catalog.version,
-        before=0 if held is None else held.version,
+        before=0 if previous is None else previous.version,
         routes=len(catalog.routes),
         homes_not_honoured=catalog.region_restricted,
         keys=len(catalog.workspaces_by_key),
@@ -207,43 +209,43 @@
 
 def apply_endpoints(state: BoxState, changes: EndpointChanges, asked_at: float) -> None:
     """Take in changes of the list, and log those that change who may get work."""
-    before = _standing(state)
-    listed = state.fleet.live()
+    before = _status_by_id(state)
+    live_before = state.fleet.live()
     now = monotonic()
-    gone_since = _gone_since(state, now)
+    earliest_removal = _earliest_removal(state, now)
     if changes.whole:
-        state.fleet.apply_snapshot(changes.present, now, gone_since)
+        state.fleet.apply_snapshot(changes.present, now, earliest_removal)
     else:
-        state.fleet.apply(changes.present, changes.gone, now, gone_since)
+        state.fleet.apply(changes.present, changes.gone, now, earliest_removal)
     state.list_asked_at = asked_at - changes.behind_s
-    if not state.fleet_known or state.fleet.live() != listed:
+    if not state.fleet_known or state.fleet.live() != live_before:
         state.list_changed_revision = changes.revision
     state.list_revision = changes.revision
     state.fleet_known = True
     state.drop_removed_endpoints()
-    _take_cold(state, changes, now)
-    _tell_unreadable(state, changes)
+    _apply_cold(state, changes, now)
+    _report_unreadable(state, changes)
     if state.list_changed_revision == state.list_revision:
         state.changed.notify_all()
-    after = _standing(state)
-    for endpoint_id, standing in after.items():
-        if before.get(endpoint_id) != standing:
+    after = _status_by_id(state)
+    for endpoint_id, status in after.items():
+        if before.get(endpoint_id) != status:
             state.log.line(
-                LogEvent.ENDPOINTS, endpoint=endpoint_id, standing=standing, revision=changes.revision
+                LogEvent.ENDPOINTS, endpoint=endpoint_id, standing=status, revision=changes.revision
             )
     for endpoint_id in before.keys() - after.keys():
         state.log.line(LogEvent.ENDPOINTS, endpoint=endpoint_id, standing="gone", revision=changes.revision)
 
 
-def _take_cold(state: BoxState, changes: EndpointChanges, now: float) -> None:
+def _apply_cold(state: BoxState, changes: EndpointChanges, now: float) -> None:
     """Take in how long endpoints say that they are cold."""
     for endpoint in changes.present:
-        held = state.endpoint_state(endpoint)
-        if endpoint.born >= held.born:
-            held.cold_until = now + endpoint.cold_s if endpoint.cold else NEVER
+        endpoint_state = state.endpoint_state(endpoint)
+        if endpoint.born >= endpoint_state.born:
+            endpoint_state.cold_until = now + endpoint.cold_s if endpoint.cold else NEVER
 
 
-def _tell_unreadable(state: BoxState, changes: EndpointChanges) -> None:
+def _report_unreadable(state: BoxState, changes: EndpointChanges) -> None:
     """Log and count entries that name no endpoint, once for as long as they stand."""
     if changes.whole:
         state.unreadable &= changes.unreadable.keys()
@@ -255,7 +257,7 @@
     state.unreadable.difference_update(item.id for item in changes.present)
 
 
-def _gone_since(state: BoxState, now: float) -> float:
+def _earliest_removal(state: BoxState, now: float) -> float:
     """Return since when an entry may be gone that the newest view is the first to lack.
 
     It may have been removed as soon as the last view was asked for that showed it: a box whose routers fall
@@ -266,22 +268,22 @@
     return now if state.list_unreachable_at > state.list_asked_at else state.list_asked_at
 
 
-def _standing(state: BoxState) -> dict[str, str]:
+def _status_by_id(state: BoxState) -> dict[str, str]:
     fleet, now = state.fleet, monotonic()
-    standing = {key: "leaving" if item.leaving else "usable" for key, item in fleet.by_id.items()}
+    status_by_id = {key: "leaving" if item.leaving else "usable" for key, item in fleet.by_id.items()}
     cold = (key for key, item in fleet.by_id.items() if not item.leaving and cold_for_s(state, item, now) > 0)
-    standing.update(dict.fromkeys(cold, "cold"))
-    standing.update(dict.fromkeys(fleet.missing_since_by_id, "missing"))
-    return standing
+    status_by_id.update(dict.fromkeys(cold, "cold"))
+    status_by_id.update(dict.fromkeys(fleet.missing_since_by_id, "missing"))
+    return status_by_id
 
 
-def _lost(state: BoxState, name: str, lost: bool) -> bool:
+def _log_lost(state: BoxState, name: str, lost: bool) -> bool:
     if not lost:
         state.log.line(LogEvent.DEPENDENCY, name=name, outcome="lost", view_age_s=state.view_age())
     return True
 
 
-def _regained(state: BoxState, name: str, lost: bool) -> bool:
+def _log_regained(state: BoxState, name: str, lost: bool) -> bool:
     if lost:
         state.log.line(LogEvent.DEPENDENCY, name=name, outcome="regained", view_age_s=state.view_age())
     return False
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -12,7 +12,7 @@
 from stairquay.core.routers import Member
 from stairquay.serving.endpoint_choice import Choice, ChoiceRequest, choose_endpoint
 from stairquay.serving.engine_views import best_sources, usable_sources
-from stairquay.serving.following import AGAIN_S, ROUTED_AGAIN_S, SINGLE_MISSES, again_s
+from stairquay.serving.following import MAX_QUICK_RETRIES, RETRY_S, ROUTED_RETRY_S, retry_pause_s
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import EndedAttempt, Outcome, PlaceRequest, PromptPart
 from stairquay.serving.orders import OrderGiver
@@ -153,9 +153,9 @@
 
 def test_boxes_beside_routers_ask_a_table_service_that_is_down_less_often():
     state = router_state()
-    assert again_s(state, 9) == AGAIN_S
+    assert retry_pause_s(state, 9) == RETRY_S
     state.routers = (Member("b-9"),)
-    assert again_s(state, SINGLE_MISSES + 1) == ROUTED_AGAIN_S > AGAIN_S
-    assert again_s(state, SINGLE_MISSES) == AGAIN_S
+    assert retry_pause_s(state, MAX_QUICK_RETRIES + 1) == ROUTED_RETRY_S > RETRY_S
+    assert retry_pause_s(state, MAX_QUICK_RETRIES) == RETRY_S
     state.routers = ()
-    assert again_s(state, 9) == AGAIN_S
+    assert retry_pause_s(state, 9) == RETRY_S
