--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -36,10 +36,10 @@
         self.at_once_if_old = False
         self.questions = 0
 
-    def to(self, _):
+    def client_for(self, _):
         return self
 
-    def heard(self, _, answer, question):
+    def record_answer(self, _, answer, question):
         return answer
 
     async def views(self, request: ViewsRequest, limit_s: float) -> ViewsReply:
