--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -27,7 +27,7 @@
 from stairquay.serving.links import RouterClients
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.notices import NoticeSender
-from stairquay.serving.orders import OrderGiver
+from stairquay.serving.orders import RolloutController
 from stairquay.serving.ports import Ports
 from stairquay.serving.settings import BoxSettings
 from stairquay.serving.sharing import SharedFeeds
@@ -115,7 +115,7 @@
         "operators": partial(follow_operators, state, feeds),
         "endpoints": partial(follow_endpoints, state, feeds),
         "watching": Watcher(state, surroundings.peers).run,
-        "orders": OrderGiver(state, surroundings.own, surroundings.peers).run,
+        "orders": RolloutController(state, surroundings.own, surroundings.peers).run,
         "boxes": BoxRegistry(state, surroundings.own, chance).run,
         "upkeep": Upkeep(state, surroundings.peers).run,
         "crashes told": crash_rows.publish,
--- a/stairquay/serving/orders.py
+++ b/stairquay/serving/orders.py
@@ -22,65 +22,67 @@
 from stairquay.serving.state import BoxState
 
 LEASE_KEY = "lease/orders"
-STEP_S = 0.15
+POLL_INTERVAL_S = 0.15
 """Seconds between two looks: a version is to be everywhere soon after it was named."""
 
-YOUNG_S = 0.3
+MAX_REPORT_AGE_S = 0.3
 """Age of an engine's report up to which it is not asked for another one while weights are replaced: reports
 lag by 0.2 s themselves. A router asks other routers' engines each two seconds only."""
 
-AGAIN_S = 0.4
+LEASE_POLL_INTERVAL_S = 0.4
 """Seconds between two reads of a lease that another box holds."""
 
 
-class OrderGiver:
+class RolloutController:
     """Gives orders while this box holds the lease."""
 
     def __init__(self, state: BoxState, own: OwnTable, peers: Peers) -> None:
         self.state = state
         self.own = own
         self.peers = peers
-        self.held: HeldLease | None = None
-        self.observed: ObservedLease | None = None
-        self.given: dict[tuple[str, int], IssuedOrder] = {}
+        self.held_lease: HeldLease | None = None
+        self.observed_lease: ObservedLease | None = None
+        self.issued: dict[tuple[str, int], IssuedOrder] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
         """Look for engines that are behind, until cancelled."""
         while True:
-            await asyncio.sleep(STEP_S)
-            engines = self._behind_now()
+            await asyncio.sleep(POLL_INTERVAL_S)
+            engines = self._engines_if_outdated()
             if not engines:
                 self.state.metrics.leading.set(0)
-                await self.state.changed.wait_for(lambda: bool(self._behind_now()))
+                await self.state.changed.wait_for(lambda: bool(self._engines_if_outdated()))
                 continue
-            if self.held is None and not await self._may_take():
+            if self.held_lease is None and not await self._may_acquire():
                 continue
-            await self._look_again(engines)
-            self._forget_old_lives()
+            await self._refresh_reports(engines)
+            self._drop_orders_of_old_incarnations()
             within_s = self.state.settings.versions_within_s
             orders = next_orders(
-                self._engines(), self.state.target_version_by_model, self.given, monotonic(), within_s
+                self._engine_states(), self.state.target_version_by_model, self.issued, monotonic(), within_s
             )
-            if orders and await self._lead():
-                self._give(orders)
+            if orders and await self._hold_lease():
+                self._issue(orders)
 
-    async def _look_again(self, engines: list[EngineState]) -> None:
+    async def _refresh_reports(self, engines: list[EngineState]) -> None:
         """Ask engines for their state that are loading, since the next ones wait for them; and those behind
         whose report is old, since an order that names an old count of orders does nothing."""
         loading = [engine.id for engine in engines if engine.busy]
-        old = [name for name in self._behind(engines) if self._report_age_s(name) > YOUNG_S]
-        known = [self.state.fleet.by_id.get(name) for name in dict.fromkeys(loading + old)]
-        await asyncio.gather(*(self._ask(endpoint) for endpoint in known if endpoint is not None))
+        stale = [name for name in self._outdated_ids(engines) if self._report_age_s(name) > MAX_REPORT_AGE_S]
+        endpoints = [self.state.fleet.by_id.get(name) for name in dict.fromkeys(loading + stale)]
+        await asyncio.gather(
+            *(self._fetch_report(endpoint) for endpoint in endpoints if endpoint is not None)
+        )
 
-    def _forget_old_lives(self) -> None:
+    def _drop_orders_of_old_incarnations(self) -> None:
         """Drop what was given to endpoints that have started again since: they know nothing of it."""
-        for key, sent in list(self.given.items()):
-            held = self.state.endpoints_by_id.get(key[0])
-            if held is not None and sent.at < held.known_since:
-                del self.given[key]
+        for key, order in list(self.issued.items()):
+            endpoint_state = self.state.endpoints_by_id.get(key[0])
+            if endpoint_state is not None and order.at < endpoint_state.known_since:
+                del self.issued[key]
 
-    def _behind_now(self) -> list[EngineState]:
+    def _engines_if_outdated(self) -> list[EngineState]:
         """Return all engines if any is behind and this box may have to order it: only routers know them.
 
         Engines never go back to older weights, so that only a change of the list or a newly named version
@@ -88,38 +90,38 @@
         """
         if not self.state.is_router or self.state.stopping:
             return []
-        engines = self._engines()
+        engines = self._engine_states()
         return engines if outdated(engines, self.state.target_version_by_model) else []
 
-    def _behind(self, engines: list[EngineState]) -> list[str]:
+    def _outdated_ids(self, engines: list[EngineState]) -> list[str]:
         return [engine.id for engine in outdated(engines, self.state.target_version_by_model)]
 
     def _report_age_s(self, engine: str) -> float:
-        held = self.state.endpoints_by_id.get(engine)
-        return float("inf") if held is None else monotonic() - held.reported_at
+        endpoint_state = self.state.endpoints_by_id.get(engine)
+        return float("inf") if endpoint_state is None else monotonic() - endpoint_state.reported_at
 
-    async def _ask(self, endpoint: Endpoint) -> None:
+    async def _fetch_report(self, endpoint: Endpoint) -> None:
         report = await self.peers.report(endpoint.address)
         if report is not None:
             self.state.apply_report(endpoint, report, monotonic())
 
-    def _engines(self) -> list[EngineState]:
+    def _engine_states(self) -> list[EngineState]:
         """Return the engines that take orders, a state for each model."""
         catalog = self.state.catalog
         if catalog is None:
             return []
-        found = []
+        states = []
         for endpoint in self.state.fleet.live():
             engine = catalog.engine_of(endpoint.service)
             if engine is None or endpoint.leaving:
                 continue
             for model in engine.models or tuple(endpoint.versions_by_model):
-                found.append(self._engine(endpoint, model))
-        return found
+                states.append(self._engine_state(endpoint, model))
+        return states
 
-    def _engine(self, endpoint: Endpoint, model: str) -> EngineState:
-        held = self.state.endpoint_state(endpoint)
-        report = held.report
+    def _engine_state(self, endpoint: Endpoint, model: str) -> EngineState:
+        endpoint_state = self.state.endpoint_state(endpoint)
+        report = endpoint_state.report
         version = self.state.version_of(endpoint, model)
         replaced_s = self.state.replaced_for_s(model, version)
         if report is None:
@@ -128,72 +130,72 @@
             endpoint.id, model, version, report.busy, report.running, report.sequence, replaced_s
         )
 
-    async def _lead(self) -> bool:
+    async def _hold_lease(self) -> bool:
         """Hold the lease for the orders to give now: write it anew unless it was written just before."""
-        if self.held is not None:
-            if self.held.may_act(monotonic()):
+        if self.held_lease is not None:
+            if self.held_lease.may_act(monotonic()):
                 return True
-            return await self._write(self.held.row, self.held.revision)
-        if self.observed is None:
-            return await self._write(None, 0)
-        return await self._write(self.observed.row, self.observed.revision)
+            return await self._write_lease(self.held_lease.row, self.held_lease.revision)
+        if self.observed_lease is None:
+            return await self._write_lease(None, 0)
+        return await self._write_lease(self.observed_lease.row, self.observed_lease.revision)
 
-    async def _may_take(self) -> bool:
+    async def _may_acquire(self) -> bool:
         """Read the lease; tell whether its holder must have stopped long enough ago."""
         found = await self.own.get(LEASE_KEY)
         if isinstance(found, Err):
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(LEASE_POLL_INTERVAL_S)
             return False
         row = found.ok_value
         if row is None or row.value is None:
-            self.observed = None
+            self.observed_lease = None
             return True
         current = msgspec.json.decode(row.value, type=LeaseRow)
         now = monotonic()
-        self.observed = observe(self.observed, current, row.revision, now)
+        self.observed_lease = observe(self.observed_lease, current, row.revision, now)
         # A box that held it before it was started anew is still the same holder to the endpoints.
         if current.holder == self.state.settings.id:
             return True
         handover_s = self.state.settings.lease.handover_s
-        if now >= self.observed.first_seen + current.duration_s + handover_s:
+        if now >= self.observed_lease.first_seen + current.duration_s + handover_s:
             return True
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(LEASE_POLL_INTERVAL_S)
         return False
 
-    async def _write(self, current: LeaseRow | None, revision: int) -> bool:
+    async def _write_lease(self, current: LeaseRow | None, revision: int) -> bool:
         holder = self.state.settings.id
         row = next_lease_row(current, holder, self.state.settings.lease.duration_s)
-        if self.held is None and current is not None and current.holder == holder:
+        if self.held_lease is None and current is not None and current.holder == holder:
             row = replace(row, token=current.token + 1)
         sent_at = monotonic()
         value = msgspec.json.encode(row).decode()
         commit = Commit("", (Condition(LEASE_KEY, revision),), (Write(LEASE_KEY, value),))
         answer = await self.own.commit(commit)
         if not isinstance(answer, Err) and isinstance(answer.ok_value, Committed):
-            if self.held is None:
+            if self.held_lease is None:
                 self.state.log.line(LogEvent.LEASE, outcome="taken", fence=row.token, revision=revision)
-            self.held = HeldLease(row, answer.ok_value.revision, sent_at)
+            self.held_lease = HeldLease(row, answer.ok_value.revision, sent_at)
             self.state.metrics.leading.set(1)
-            return self.held.may_act(monotonic())
-        if self.held is not None:
+            return self.held_lease.may_act(monotonic())
+        if self.held_lease is not None:
             cause = answer.err_value.value if isinstance(answer, Err) else "conflict"
-            self.state.log.line(LogEvent.LEASE, outcome="lost", fence=self.held.row.token, cause=cause)
-        self.held = None
+            self.state.log.line(LogEvent.LEASE, outcome="lost", fence=self.held_lease.row.token, cause=cause)
+        self.held_lease = None
         self.state.metrics.leading.set(0)
         return False
 
-    def _give(self, orders: list[Order]) -> None:
+    def _issue(self, orders: list[Order]) -> None:
         for order in orders:
-            self.given[order.engine, order.version] = IssuedOrder(monotonic())
-            task = asyncio.create_task(self._order(order))
+            self.issued[order.engine, order.version] = IssuedOrder(monotonic())
+            task = asyncio.create_task(self._send_order(order))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _order(self, order: Order) -> None:
+    async def _send_order(self, order: Order) -> None:
         endpoint = self.state.fleet.by_id.get(order.engine)
-        held = self.held
-        if endpoint is None or held is None or not held.may_act(monotonic()):
-            self.given.pop((order.engine, order.version), None)
+        lease = self.held_lease
+        if endpoint is None or lease is None or not lease.may_act(monotonic()):
+            self.issued.pop((order.engine, order.version), None)
             return
         answer = await self.peers.order(
             VersionOrder(
@@ -201,23 +203,23 @@
                 address=endpoint.address,
                 model=order.model,
                 version=order.version,
-                holder=held.row.holder,
-                fence=held.row.token,
+                holder=lease.row.holder,
+                fence=lease.row.token,
                 sequence=order.sequence,
             )
         )
         if answer in (OrderAnswer.CONFLICT, OrderAnswer.REFUSED):
-            self.given.pop((order.engine, order.version), None)
+            self.issued.pop((order.engine, order.version), None)
         if answer == OrderAnswer.SILENT:
-            self.given[order.engine, order.version] = IssuedOrder(monotonic(), answered=False)
+            self.issued[order.engine, order.version] = IssuedOrder(monotonic(), answered=False)
         self.state.metrics.orders.labels(answer.value).inc()
         self.state.log.line(
             LogEvent.ORDER,
             endpoint=endpoint.id,
             model=order.model,
             version=order.version,
-            fence=held.row.token,
+            fence=lease.row.token,
             sequence=order.sequence,
-            lease_age_s=monotonic() - held.sent_at,
+            lease_age_s=monotonic() - lease.sent_at,
             outcome=answer.value,
         )
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -15,7 +15,7 @@
 from stairquay.serving.following import MAX_QUICK_RETRIES, RETRY_S, ROUTED_RETRY_S, retry_pause_s
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import EndedAttempt, Outcome, PlaceRequest, PromptPart
-from stairquay.serving.orders import OrderGiver
+from stairquay.serving.orders import RolloutController
 from stairquay.serving.ports import EngineReport
 from stairquay.serving.state import BoxState
 from tests.states import box_state
@@ -131,13 +131,13 @@
     state = router_state()
     state.target_version_by_model["m"] = 2
     state.endpoints_by_id["e-0"].reported_at = monotonic() - 1.0
-    giver = OrderGiver(state, None, Peers())
-    asyncio.run(giver._look_again([EngineState("e-0", "m", 1)]))
+    giver = RolloutController(state, None, Peers())
+    asyncio.run(giver._refresh_reports([EngineState("e-0", "m", 1)]))
     assert Peers.asked == ["10.0.1.0:1"]
     state.endpoints_by_id["e-0"].reported_at = monotonic()
-    asyncio.run(giver._look_again([EngineState("e-0", "m", 1)]))
+    asyncio.run(giver._refresh_reports([EngineState("e-0", "m", 1)]))
     assert len(Peers.asked) == 1
-    asyncio.run(giver._look_again([EngineState("e-0", "m", 1, busy=True)]))
+    asyncio.run(giver._refresh_reports([EngineState("e-0", "m", 1, busy=True)]))
     assert len(Peers.asked) == 2
 
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -21,7 +21,7 @@
     PlaceRequest,
     PromptPart,
 )
-from stairquay.serving.orders import OrderGiver
+from stairquay.serving.orders import RolloutController
 from stairquay.serving.pacing import MAX_COLD_RETRY_S, retry_after_s, wait_s
 from stairquay.serving.ports import EndpointChanges, EngineReport, OperatorChanges
 from stairquay.serving.state import BoxState
@@ -126,13 +126,13 @@
 
 def test_an_order_that_the_last_life_took_does_not_hold_up_the_next_one():
     state = state_with(ENGINE)
-    giver = OrderGiver(state, None, None)
-    giver.given = {("e", 2): IssuedOrder(monotonic() - 0.1), ("f", 2): IssuedOrder(monotonic())}
-    giver._forget_old_lives()
-    assert len(giver.given) == 2
+    giver = RolloutController(state, None, None)
+    giver.issued = {("e", 2): IssuedOrder(monotonic() - 0.1), ("f", 2): IssuedOrder(monotonic())}
+    giver._drop_orders_of_old_incarnations()
+    assert len(giver.issued) == 2
     listed(state, replace(ENGINE, born=2_000, sequence=1))
-    giver._forget_old_lives()
-    assert list(giver.given) == [("f", 2)]
+    giver._drop_orders_of_old_incarnations()
+    assert list(giver.issued) == [("f", 2)]
 
 
 def test_an_endpoint_that_was_not_reached_counts_as_cold_until_it_says_that_it_is_the_same():
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -14,7 +14,7 @@
 from stairquay.box import start_box
 from stairquay.core.lease import HeldLease, LeaseRow
 from stairquay.serving.following import apply_endpoints, apply_operators
-from stairquay.serving.orders import OrderGiver
+from stairquay.serving.orders import RolloutController
 from stairquay.serving.ports import EndpointChanges, OperatorChanges
 from tests.states import box_state
 
@@ -48,13 +48,13 @@
     apply_operators(state, OperatorChanges(1, True), now_of("following"))
     apply_endpoints(state, EndpointChanges(1, True), now_of("following"))
     state.suspect("box-2", 3.0)
-    giver = OrderGiver(state, None, None)
-    giver.held = HeldLease(LeaseRow("b-1", 1, 3.0), 1, now_of("orders"))
-    assert state.keys_fresh() and giver.held.may_act(now_of("orders"))
+    giver = RolloutController(state, None, None)
+    giver.held_lease = HeldLease(LeaseRow("b-1", 1, 3.0), 1, now_of("orders"))
+    assert state.keys_fresh() and giver.held_lease.may_act(now_of("orders"))
     suspend()
     assert not state.keys_fresh()
     assert state.view_age() >= SUSPENDED_S and state.list_age() >= SUSPENDED_S
-    assert not giver.held.may_act(now_of("orders"))
+    assert not giver.held_lease.may_act(now_of("orders"))
     assert state.suspected_until_by_id["box-2"] < now_of("state")
 
 
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -18,7 +18,7 @@
 from stairquay.serving.boxes import KEY_PREFIX, BoxRegistry
 from stairquay.serving.endpoint_choice import ChoiceRequest, choose_endpoint
 from stairquay.serving.following import apply_operators
-from stairquay.serving.orders import OrderGiver
+from stairquay.serving.orders import RolloutController
 from stairquay.serving.ports import EngineReport, OperatorChanges
 from stairquay.serving.state import BoxState
 from tests.site import box_rows, eventually, name_version, site
@@ -134,7 +134,9 @@
     """An engine that starts again has the weights that it had, and the first report comes later."""
     state = state_with_old_weights(9.0)
     state.fleet.apply([Endpoint("e-1", "llm", "10.0.1.1:1", versions_by_model={"m": 1})], [], monotonic())
-    ages_s = {engine.id: engine.replaced_s for engine in OrderGiver(state, None, None)._engines()}
+    ages_s = {
+        engine.id: engine.replaced_s for engine in RolloutController(state, None, None)._engine_states()
+    }
     assert 8.9 < ages_s["e-1"] < 9.5
 
 
