--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -34,7 +34,7 @@
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import backoffs_by_id, limit_of
 from stairquay.serving.upkeep import Upkeep
-from stairquay.serving.watching import Watcher
+from stairquay.serving.watching import EndpointWatcher
 
 KEEP_ALIVE_S = 120.0
 """Seconds for which a caller's idle connection stays open: longer than callers rest on one."""
@@ -114,7 +114,7 @@
         "pings": notices.ping_routers,
         "operators": partial(follow_operators, state, feeds),
         "endpoints": partial(follow_endpoints, state, feeds),
-        "watching": Watcher(state, surroundings.peers).run,
+        "watching": EndpointWatcher(state, surroundings.peers).run,
         "orders": RolloutController(state, surroundings.own, surroundings.peers).run,
         "boxes": BoxRegistry(state, surroundings.own, chance).run,
         "upkeep": Upkeep(state, surroundings.peers).run,
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -15,100 +15,100 @@
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import apply_leaving
 
-FOREIGN_REPORT_S = 2.0
+OTHER_REPORT_INTERVAL_S = 2.0
 """Seconds between a router's questions for the state of other routers' engines: orders need their count of
 orders, and a router's engines are shared out when it is gone."""
 
-EVENTS_WAIT_S = 0.8
+EVENTS_LONG_POLL_S = 0.8
 """Seconds for which a call waits for events."""
 
 EVENTS_PAUSE_S = 0.15
 """Seconds between two calls for events: with each answer's events come in batches."""
 
-STORE_WAIT_S = 0.4
+STORE_LONG_POLL_S = 0.4
 """Seconds for which a call to a store box waits: its view counts only for a short while."""
 
-AGAIN_S = 0.3
+RETRY_S = 0.3
 """Seconds before a holder that did not answer is asked again."""
 
-LIST_AGAIN_S = 3.0
+MIN_SNAPSHOT_INTERVAL_S = 3.0
 """Seconds between two whole lists of an engine: each holds up its work."""
 
-REVIEW_S = 0.25
+RECONCILE_INTERVAL_S = 0.25
 """Seconds between two looks at which endpoints there are."""
 
-FOLLOWER_SHARE = 0.8
+MAX_FOLLOWER_SHARE = 0.8
 """Share of a holder's places for followers that our boxes use together."""
 
-Name = tuple[str, str]
+TaskKey = tuple[str, str]
 """What is watched (`report`, `engine` or `store`): the endpoint's id and address, or the holder's address."""
 
-Work = Callable[[], Coroutine[Any, Any, None]]
+TaskFactory = Callable[[], Coroutine[Any, Any, None]]
 
 
-class Watcher:
+class EndpointWatcher:
     """Runs a task for each engine's state, and one for each holder's events."""
 
     def __init__(self, state: BoxState, peers: Peers) -> None:
         self.state = state
         self.peers = peers
-        self.tasks_by_name: dict[Name, asyncio.Task[None]] = {}
+        self.tasks_by_key: dict[TaskKey, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
         """Start and end tasks as endpoints come and go, until cancelled."""
         try:
             while True:
-                self._review()
-                if self.tasks_by_name or self.state.is_router:
-                    await asyncio.sleep(REVIEW_S)
+                self._reconcile()
+                if self.tasks_by_key or self.state.is_router:
+                    await asyncio.sleep(RECONCILE_INTERVAL_S)
                 else:
                     await self.state.changed.wait_for(lambda: self.state.is_router)
         finally:
-            for task in self.tasks_by_name.values():
+            for task in self.tasks_by_key.values():
                 task.cancel()
 
-    def _review(self) -> None:
+    def _reconcile(self) -> None:
         catalog = self.state.catalog
         if catalog is None:
             return
-        wanted = self._wanted(catalog)
-        for name in list(self.tasks_by_name):
-            if name not in wanted:
-                self.tasks_by_name.pop(name).cancel()
-                if name[0] != "report":
-                    self.state.holdings.forget(name[1])
-        for name, work in wanted.items():
-            task = self.tasks_by_name.get(name)
+        desired = self._desired_tasks(catalog)
+        for key in list(self.tasks_by_key):
+            if key not in desired:
+                self.tasks_by_key.pop(key).cancel()
+                if key[0] != "report":
+                    self.state.holdings.forget(key[1])
+        for key, create in desired.items():
+            task = self.tasks_by_key.get(key)
             if task is None or task.done():
-                self.tasks_by_name[name] = asyncio.create_task(work())
+                self.tasks_by_key[key] = asyncio.create_task(create())
 
-    def _wanted(self, catalog: Catalog) -> dict[Name, Work]:
-        wanted: dict[Name, Work] = {}
+    def _desired_tasks(self, catalog: Catalog) -> dict[TaskKey, TaskFactory]:
+        desired: dict[TaskKey, TaskFactory] = {}
         if not self.state.is_router:
-            return wanted
+            return desired
         for endpoint in self.state.fleet.by_id.values():
             engine = catalog.engine_of(endpoint.service)
             if engine is None:
                 continue
             name = f"{endpoint.id} {endpoint.address}"
-            wanted["report", name] = partial(self._watch_report, endpoint.id, endpoint.address)
+            desired["report", name] = partial(self._watch_report, endpoint.id, endpoint.address)
             if endpoint.id not in self.state.routed_engines:
                 continue
-            if self._follows(endpoint.address, engine.max_followers):
-                wanted["engine", endpoint.address] = partial(self._watch_engine, endpoint.address)
+            if self._is_assigned(endpoint.address, engine.max_followers):
+                desired["engine", endpoint.address] = partial(self._watch_engine, endpoint.address)
         for store in catalog.stores_by_id.values():
-            if self._follows(store.address, store.max_followers):
-                wanted["store", store.address] = partial(self._watch_store, store.address)
-        return wanted
+            if self._is_assigned(store.address, store.max_followers):
+                desired["store", store.address] = partial(self._watch_store, store.address)
+        return desired
 
-    def _follows(self, address: str, places: int) -> bool:
+    def _is_assigned(self, address: str, max_followers: int) -> bool:
         """Tell whether this router is among those that follow a holder: each takes only so many."""
         boxes = [router.id for router in self.state.routers]
-        most = max(1, int(places * FOLLOWER_SHARE))
-        if len(boxes) <= most:
+        limit = max(1, int(max_followers * MAX_FOLLOWER_SHARE))
+        if len(boxes) <= limit:
             return True
         ranked = sorted(boxes, key=lambda box: xxhash.xxh64_intdigest(f"{address} {box}".encode()))
-        return self.state.settings.id in ranked[:most]
+        return self.state.settings.id in ranked[:limit]
 
     async def _watch_report(self, endpoint_id: str, address: str) -> None:
         while True:
@@ -119,24 +119,24 @@
                 self.state.apply_report(endpoint, report, monotonic())
                 if report.leaving:
                     apply_leaving(self.state, endpoint.id, report.born or endpoint.born, "report")
-                self._take_clock(report.clock_ms)
+                self._apply_clock(report.clock_ms)
             elif endpoint is not None:
                 self.state.endpoint_state(endpoint).unreachable_at = monotonic()
             await asyncio.sleep(self._report_pause_s(endpoint_id))
 
     def _report_pause_s(self, endpoint_id: str) -> float:
-        return REPORT_INTERVAL_S if endpoint_id in self.state.routed_engines else FOREIGN_REPORT_S
+        return REPORT_INTERVAL_S if endpoint_id in self.state.routed_engines else OTHER_REPORT_INTERVAL_S
 
     async def _watch_engine(self, address: str) -> None:
         position = 0
         incarnation = 0
-        listed_at = float("-inf")
+        snapshot_at = float("-inf")
         while True:
             asked_at = monotonic()
-            changes = await self.peers.cache_changes(address, position, EVENTS_WAIT_S)
+            changes = await self.peers.cache_changes(address, position, EVENTS_LONG_POLL_S)
             self._count("engine_events", changes is not None)
             if changes is None:
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RETRY_S)
                 continue
             if changes.incarnation != incarnation:
                 self.state.holdings.forget(address)
@@ -144,11 +144,11 @@
                 if position != 0:
                     position = 0
                     continue
-            if changes.lost and asked_at - listed_at > LIST_AGAIN_S:
-                listed_at = asked_at
-                await self._list(address, asked_at)
+            if changes.lost and asked_at - snapshot_at > MIN_SNAPSHOT_INTERVAL_S:
+                snapshot_at = asked_at
+                await self._apply_snapshot(address, asked_at)
             self.state.holdings.apply(address, changes.events, changes.position, asked_at)
-            self._take_clock(changes.clock_ms)
+            self._apply_clock(changes.clock_ms)
             position = changes.position
             await asyncio.sleep(EVENTS_PAUSE_S)
 
@@ -156,20 +156,22 @@
         """Follow a store box. Its list is read first, and again whenever anything was missed."""
         while True:
             asked_at = monotonic()
-            kept = await self.peers.cache_snapshot(address)
-            self._count("store_list", kept is not None)
-            if kept is None:
-                await asyncio.sleep(AGAIN_S)
+            snapshot = await self.peers.cache_snapshot(address)
+            self._count("store_list", snapshot is not None)
+            if snapshot is None:
+                await asyncio.sleep(RETRY_S)
                 continue
-            self.state.holdings.replace(address, kept.incarnation, kept.position, kept.parts, asked_at)
+            self.state.holdings.replace(
+                address, snapshot.incarnation, snapshot.position, snapshot.parts, asked_at
+            )
             self.state.log.line(
                 LogEvent.STORE_VIEW,
                 store=address,
                 outcome="read",
-                parts=len(kept.parts),
-                life=kept.incarnation,
+                parts=len(snapshot.parts),
+                life=snapshot.incarnation,
             )
-            cause = await self._follow_store(address, kept.incarnation, kept.position)
+            cause = await self._follow_store(address, snapshot.incarnation, snapshot.position)
             self.state.holdings.forget(address)
             self.state.log.line(LogEvent.STORE_VIEW, store=address, outcome="dropped", cause=cause)
 
@@ -177,7 +179,7 @@
         """Take in a store box's events until its view cannot be trusted any more; return why."""
         while True:
             asked_at = monotonic()
-            changes = await self.peers.cache_changes(address, position, STORE_WAIT_S)
+            changes = await self.peers.cache_changes(address, position, STORE_LONG_POLL_S)
             self._count("store_events", changes is not None)
             if changes is None:
                 return "silent"
@@ -186,17 +188,19 @@
             if changes.lost:
                 return "events lost"
             self.state.holdings.apply(address, changes.events, changes.position, asked_at)
-            self._take_clock(changes.clock_ms)
+            self._apply_clock(changes.clock_ms)
             position = changes.position
             await asyncio.sleep(EVENTS_PAUSE_S)
 
-    async def _list(self, address: str, asked_at: float) -> None:
-        kept = await self.peers.cache_snapshot(address)
-        self._count("engine_list", kept is not None)
-        if kept is not None:
-            self.state.holdings.replace(address, kept.incarnation, kept.position, kept.parts, asked_at)
+    async def _apply_snapshot(self, address: str, asked_at: float) -> None:
+        snapshot = await self.peers.cache_snapshot(address)
+        self._count("engine_list", snapshot is not None)
+        if snapshot is not None:
+            self.state.holdings.replace(
+                address, snapshot.incarnation, snapshot.position, snapshot.parts, asked_at
+            )
 
-    def _take_clock(self, clock_ms: int | None) -> None:
+    def _apply_clock(self, clock_ms: int | None) -> None:
         if clock_ms is not None:
             self.state.clock_offset_ms = clock_ms - monotonic() * 1000
 
