--- a/stairquay/serving/messages.py
+++ b/stairquay/serving/messages.py
@@ -1,4 +1,4 @@
-"""What boxes say to each other where some of them route for all."""
+"""Messages between boxes and the routers among them."""
 
 from enum import Enum
 from math import inf
@@ -17,11 +17,11 @@
 
 
 class PeerFeedback(msgspec.Struct, frozen=True, array_like=True):
-    """What a box heard an endpoint say of its use.
+    """Feedback of an endpoint that one box forwards to another.
 
-    born: of the life that said it, 0 where that is not known. per_s: its limit; sent_ago_s, heard_ago_s: as
-    the times of core.limits.LimitNews, before this was made, infinite where it named none. rest_s: seconds
-    for which it wants nothing from the box that tells this.
+    born: of the incarnation that sent it, 0 for unknown. per_s: its limit, in requests per second;
+    sent_ago_s, heard_ago_s: the ages of the times in core.limits.LimitReport, infinite for no limit. rest_s:
+    seconds for which it wants no requests from the sender of this message.
     """
 
     endpoint: str
@@ -36,11 +36,10 @@
 class PlaceRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks where a prompt should run.
 
-    ticket: names this attempt until it has ended. box: who asks, and will send it. wall: the workspace that
-    shares no kept context, empty for the others. tried: endpoints that must not be chosen again.
-    most_backlog_s: the sender gives the prompt up where it would wait longer; None where it does not.
-    may_wait: the sender can ask again a little later. said: who wants rest from the sender; and all else that
-    it heard endpoints say, where a router has just shown that it does not know of it.
+    ticket: id of the attempt. box: the sender, which will also send the prompt. wall: the workspace, where
+    it shares no cached prompts with others, else empty. tried: endpoints to exclude. most_backlog_s: longest
+    wait for an engine that the sender accepts, None for any. may_wait: the sender can ask again later. said:
+    back-offs that the sender has to observe, and feedback that the router has shown not to know.
     """
 
     ticket: str
@@ -60,11 +59,11 @@
 class PlaceReply(msgspec.Struct, frozen=True, array_like=True):
     """Where a prompt should run; `endpoint` is empty where no endpoint can take it.
 
-    again_s: seconds after which the sender should ask again, 0 where this reply is the answer. said: what the
-    router heard of the endpoint's limit, and counts by; None where it heard of none. come_back_s: where all
-    endpoints have got what they take, or want rest, the seconds until one takes this prompt; else 0.
+    again_s: seconds after which the sender should ask again, 0 where this reply is final. said: the limit of
+    the endpoint that the router applies, None for none. come_back_s: where all endpoints are at their limits
+    or back off, the seconds until one accepts this prompt; else 0.
 
-    The fields are those of serving.choosing.Choice and core.placement.Placement.
+    The other fields are those of serving.endpoint_choice.Choice and core.placement.Placement.
     """
 
     endpoint: str = ""
@@ -85,34 +84,36 @@
 
 
 class Outcome(str, Enum):
-    """How an attempt ended, as far as it tells something about its endpoint."""
+    """How an attempt ended."""
 
     DONE = "done"
-    """Nothing speaks against the endpoint."""
+    """Nothing counts against the endpoint."""
 
     FAILED = "failed"
-    """The endpoint failed it."""
+    """The endpoint failed."""
 
     TURNED_AWAY = "turned_away"
-    """The endpoint did not take it."""
+    """The endpoint refused the request."""
 
     UNREACHED = "unreached"
-    """The endpoint took no connection."""
+    """The endpoint accepted no connection."""
 
     NOT_SENT = "not_sent"
-    """It never left its box."""
+    """The request was not sent."""
 
 
 class EndedAttempt(msgspec.Struct, frozen=True, array_like=True):
-    """An attempt that has left the endpoint it was placed on."""
+    """An attempt that has ended at its endpoint."""
 
     ticket: str
     outcome: Outcome = Outcome.DONE
 
 
 class FinishedNotice(msgspec.Struct, frozen=True, array_like=True):
-    """Names attempts that have ended, and the tickets of those whose prompts have been read; none where a
-    router only asks whether another is there. said: what the sender heard endpoints say."""
+    """Attempts that have ended, and tickets of those with a finished prefill (`read`); empty for a ping.
+
+    said: feedback of endpoints.
+    """
 
     ended: tuple[EndedAttempt, ...]
     read: tuple[str, ...] = ()
@@ -120,8 +121,7 @@
 
 
 class PeerCrash(msgspec.Struct, frozen=True, array_like=True):
-    """An endpoint crashed while a request was there, `ago_s` before this was made. Else as
-    core.crashes.Crash."""
+    """A crash of an endpoint `ago_s` seconds ago; the other fields are those of core.crashes.Crash."""
 
     digest: str
     life: str
@@ -131,18 +131,19 @@
 
 
 class PeerCrashes(msgspec.Struct, frozen=True, array_like=True):
-    """What a router knows of crashes. cleared: requests that are above suspicion, and for how many
-    seconds."""
+    """Crashes that a router knows of.
+
+    cleared: digests of requests cleared of suspicion, and how many seconds ago.
+    """
 
     crashes: tuple[PeerCrash, ...]
     cleared: tuple[tuple[str, float], ...]
 
 
 class OperatorsRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for operators' rows if they changed after a revision; waits up to `wait_s` for that.
+    """Asks for operators' rows that changed after a revision, waiting up to `wait_s` seconds.
 
-    crashes_known: the revision at which boxes' rows about crashes last changed, as far as the asker was told.
-    said: what the asker heard endpoints say.
+    crashes_known: the last revision of crash rows that the sender knows. said: feedback of endpoints.
     """
 
     after: int
@@ -152,12 +153,11 @@
 
 
 class OperatorsReply(msgspec.Struct, frozen=True, array_like=True):
-    """A router's view of operators' rows. age_s: how old it was when this reply was made; held_s: how long
-    the router held the question.
+    """A router's view of operators' rows.
 
-    crashes_revision: the revision at which boxes' rows about crashes last changed, -1 where the router does
-    not follow them. crashes: what they tell, None where the question named that revision. said: what the
-    router heard endpoints say.
+    age_s: age of the view when this was sent, in seconds. held_s: seconds for which the router held the
+    request. crashes_revision: last revision of crash rows, -1 where the router does not follow them. crashes:
+    None where the request named that revision. said: feedback of endpoints.
     """
 
     changes: OperatorChanges
@@ -169,22 +169,22 @@
 
 
 class EndpointsRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for the list of endpoints if it changed after a revision; waits up to `wait_s` for that."""
+    """Asks for the list of endpoints if it changed after a revision, waiting up to `wait_s` seconds."""
 
     after: int
     wait_s: float
 
 
 class EndpointsReply(msgspec.Struct, frozen=True, array_like=True):
-    """A router's view of the list of endpoints, `age_s` old when this reply was made."""
+    """A router's view of the list of endpoints, `age_s` seconds old when this was sent."""
 
     changes: EndpointChanges
     age_s: float
 
 
 class ViewsRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for both as soon as one of them changes. Each question to a router costs both sides about a
-    millisecond of processor time, and all boxes ask the same two routers."""
+    """Asks for both views as soon as one of them changes. One request instead of two, since all boxes ask
+    the same few routers."""
 
     operators: OperatorsRequest
     endpoints: EndpointsRequest
--- a/stairquay/serving/ports.py
+++ b/stairquay/serving/ports.py
@@ -1,4 +1,4 @@
-"""What the one-process program needs of its surroundings, whatever dialect they speak."""
+"""Ports of the one-process program: the interfaces that adapters of a platform implement."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field
@@ -21,23 +21,23 @@
 
 
 class FeedFault(str, Enum):
-    """Why a feed gave no changes."""
+    """Why a feed returned no changes."""
 
     UNREACHED = "unreached"
     """The table service did not answer."""
 
     HISTORY_GONE = "history_gone"
-    """The changes since then are forgotten: everything has to be read anew."""
+    """The changes after that revision are no longer kept: a snapshot has to be read."""
 
 
 @dataclass(frozen=True)
 class OperatorChanges:
-    """What operators changed. `whole`: everything was read, not only the changes.
+    """Changes of the operators' configuration, or a snapshot of it (`whole`).
 
-    catalog is None where the configuration did not change, or where it cannot be read (`unreadable` says
-    why). versions_by_model holds newly named weights. evacuated: data halls whose endpoints are to get
-    nothing, all of them where everything was read; returned: those that may get work again. behind_s: seconds
-    by which this is older than the question for it, where another box passed it on.
+    catalog: None where it did not change, or is invalid (`unreadable` says why). versions_by_model: new
+    target versions. evacuated: data halls whose endpoints must get no requests, all of them in a snapshot;
+    returned: data halls whose evacuation has ended. behind_s: seconds by which this is older than the request
+    for it, where a router forwarded it.
     """
 
     revision: int
@@ -52,10 +52,9 @@
 
 @dataclass(frozen=True)
 class EndpointChanges:
-    """Changed entries of the list of endpoints, and the ids of removed ones.
+    """Changed entries of the list of endpoints, and the ids of removed ones; or a snapshot (`whole`).
 
-    behind_s: as for OperatorChanges. unreadable: why, for each id whose entry names no endpoint; it is among
-    the removed ones, too.
+    behind_s: as in OperatorChanges. unreadable: errors by id of invalid entries, which `gone` also lists.
     """
 
     revision: int
@@ -67,10 +66,10 @@
 
 
 class Feeds(Protocol):
-    """What is followed in the platform's table service."""
+    """Feeds of the platform's table service."""
 
     async def read_operators(self) -> Result[OperatorChanges, FeedFault]:
-        """Read the configuration and the named versions."""
+        """Read the configuration and the target versions."""
 
     async def follow_operators(self, after: int, wait_s: float) -> Result[OperatorChanges, FeedFault]:
         """Wait for changes after a revision."""
@@ -83,13 +82,13 @@
 
 
 class OwnTable(Protocol):
-    """Rows of our own: the lease, and who is there."""
+    """The table for rows of the boxes: the lease and the heartbeats."""
 
     async def get(self, key: str) -> Result[Row | None, PlatformFault]:
         """Return a row, or None where there is none."""
 
     async def list_prefix(self, prefix: str) -> Result[tuple[Row, ...], PlatformFault]:
-        """Return all rows whose keys begin so."""
+        """Return all rows whose keys begin with a prefix."""
 
     async def commit(self, commit: Commit) -> Result[Committed | Conflict, PlatformFault]:
         """Write all rows if all conditions hold."""
@@ -99,7 +98,7 @@
 
 
 class CrashTable(Protocol):
-    """Rows of our own in which boxes tell each other of crashes, one for each box under its id."""
+    """The table in which boxes publish crashes, one row for each box under its id."""
 
     async def read(self) -> Result[Changes, FeedFault]:
         """Read all rows."""
@@ -116,10 +115,10 @@
 
 @dataclass(frozen=True)
 class EngineReport:
-    """What an engine or store box says of its state, some hundred milliseconds old.
+    """The state that an engine or store box reports.
 
-    next_tokens: the prompt of the first request that waits. born: as for Endpoint. cold_s: seconds for which
-    it is cold, None where it does not say so.
+    next_tokens: prompt tokens of the first waiting request. born: as in Endpoint. cold_s: seconds for which
+    it is still cold, None where it is not known.
     """
 
     versions_by_model: dict[str, int] = field(default_factory=dict)
@@ -139,7 +138,7 @@
 
 @dataclass(frozen=True)
 class CacheSnapshot:
-    """All that a holder keeps; `partial` counts the parts that broke off on their way in."""
+    """All parts in the cache of an engine or store box. partial: parts whose transfer broke off."""
 
     incarnation: int
     position: int
@@ -149,7 +148,7 @@
 
 @dataclass(frozen=True)
 class CacheChanges:
-    """A holder's events. `lost`: some are missing, and the list has to be read anew."""
+    """Cache events after a position. lost: some are missing, and a snapshot has to be read."""
 
     incarnation: int
     position: int
@@ -159,7 +158,7 @@
 
 
 class OrderAnswer(str, Enum):
-    """What an engine said to an order."""
+    """How an engine answered an order."""
 
     UNDER_WAY = "under_way"
     IN_FORCE = "in_force"
@@ -171,7 +170,7 @@
 
 @dataclass(frozen=True)
 class VersionOrder:
-    """An order to load weights, under the fencing token of the lease it is given by."""
+    """An order to load weights, with the fencing token of the lease that it is issued under."""
 
     endpoint: str
     address: str
@@ -183,29 +182,29 @@
 
 
 class Peers(Protocol):
-    """Calls to engines and store boxes besides callers' requests. A silent one gives None."""
+    """Control calls to engines and store boxes. They return None where there is no answer."""
 
     async def report(self, address: str) -> EngineReport | None:
-        """Return an endpoint's state."""
+        """Return the state of an engine or store box."""
 
     async def cache_changes(self, address: str, since: int, wait_s: float) -> CacheChanges | None:
-        """Return a holder's events after a position, waiting for some."""
+        """Return cache events after a position, waiting for some."""
 
     async def cache_snapshot(self, address: str) -> CacheSnapshot | None:
-        """Return all that a holder keeps."""
+        """Return all cached parts."""
 
     async def free(self, address: str, keys: tuple[PartKey, ...], incarnation: int) -> bool:
-        """Free parts at a store box, unless it has started anew; tell whether it was done."""
+        """Free parts at a store box, unless it was restarted; tell whether it was done."""
 
     async def order(self, order: VersionOrder) -> OrderAnswer:
-        """Give an order."""
+        """Send an order to an engine."""
 
     async def accepts_connections(self, address: str) -> bool:
-        """Tell whether something takes connections at an address."""
+        """Tell whether an address accepts connections."""
 
 
 class Topic(str, Enum):
-    """What an endpoint may say of its use."""
+    """Kinds of feedback."""
 
     LIMIT = "limit"
     LEAVING = "leaving"
@@ -214,11 +213,11 @@
 
 @dataclass(frozen=True)
 class Feedback:
-    """What an answer says of its endpoint's use.
+    """What an endpoint reports of its own use, in the head of an answer.
 
-    limit_per_s: requests a second that it takes from all callers together. leaving: it takes no new work any
-    more. rest_s: seconds for which it wants nothing from this box. None where what it says cannot be read;
-    unreadable gives the text then.
+    limit_per_s: requests per second that it accepts from all callers together. leaving: it accepts no new
+    requests. backoff_s: seconds for which it wants no requests from this box. Each is None where its header
+    is invalid; unreadable has the text then.
     """
 
     limit_per_s: float | None = UNLIMITED
@@ -229,11 +228,11 @@
 
 @dataclass(frozen=True)
 class SendFailure:
-    """Why an endpoint gave no answer that counts.
+    """Why an attempt at an endpoint failed.
 
-    status: the HTTP status it gave, 0 for none. misdirected: another endpoint or version is there now.
-    fault: whether it speaks against the endpoint. broke: the connection ended before the answer did.
-    said: None where no answer came, or one that may be another endpoint's.
+    status: the HTTP status, 0 for none. misdirected: another endpoint or version is at the address. fault:
+    whether it counts against the endpoint. connection_broken: the connection ended before the answer did.
+    feedback: None where no answer came, or one that may be another endpoint's.
     """
 
     kind: ErrorKind
@@ -248,9 +247,9 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """An endpoint's answer whose head was read. `version` is what it ran, where it said so.
+    """An endpoint's answer whose head was read. version: the weights it ran, where the answer names them.
 
-    chunks yields the body as it arrives, and raises BrokenAnswer where the body ends early.
+    chunks yields the body as it arrives, and raises IncompleteResponseError where the body ends early.
     """
 
     status: int
@@ -263,15 +262,15 @@
 
 
 class IncompleteResponseError(Exception):
-    """An answer ended before it was whole."""
+    """A response ended before it was complete."""
 
 
 Guard = Callable[[], bool]
-"""Tells, at the last moment before bytes may leave, whether the request may still be sent."""
+"""Checked just before the first byte is written: tells whether the request may still be sent."""
 
 
 class RequestSender(Protocol):
-    """Callers' requests on their way to endpoints."""
+    """Sends callers' requests to endpoints."""
 
     async def send(
         self, call: Call, body: bytes, dispatch: Dispatch, attempt: Attempt, guard: Guard, wait_s: float
@@ -280,13 +279,13 @@
 
 
 class CallerCodec(Protocol):
-    """The dialect that callers speak."""
+    """Decodes callers' requests and encodes refusals."""
 
     def decode(self, request: web.Request) -> Result[Call, Refusal]:
-        """Return the request in our own types."""
+        """Return the decoded request."""
 
     def refuse(self, call_id: str, refusal: Refusal) -> web.Response:
-        """Return the answer to a request that was given up on."""
+        """Return the response to a refused request."""
 
 
 @dataclass(frozen=True)
