--- a/stairquay/serving/following.py
+++ b/stairquay/serving/following.py
@@ -1,4 +1,4 @@
-"""Follows the configuration and the list of endpoints in the table service."""
+"""Follows the configuration and the list of endpoints in the table service by long polling."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -19,40 +19,39 @@
 Changes = TypeVar("Changes", OperatorChanges, EndpointChanges)
 
 LONG_POLL_S = 0.7
-"""Seconds for which a call waits for changes: the view's age stays below it while the service answers,
-and one lost answer does not make the view too old."""
+"""Longest wait of a call for changes. It bounds the age of a box's view; one lost answer must not make the
+view expire."""
 
 ROUTER_LONG_POLL_S = 0.35
-"""The same for a router, whose view others rest on: it is half as old."""
+"""The same for a router that forwards its view, which must be younger."""
 
 RETRY_S = 0.25
-"""Seconds before a call that got no answer is made again: calls to a service that is down are priced, too."""
+"""Pause before a failed call is retried."""
 
 ROUTED_RETRY_S = 1.0
-"""The same for a box that asks routers: they ask again sooner, and it asks them first each time."""
+"""The same for a box that asks routers first, which retry sooner themselves."""
 
 MAX_QUICK_RETRIES = 2
-"""Calls without an answer after which that longer pause is made; sooner, a change could be known too late."""
+"""Failed calls in a row before ROUTED_RETRY_S applies; after fewer, a change could be known too late."""
 
 LIST_SNAPSHOT_INTERVAL_S = 4.0
-"""Seconds between two whole reads of the list of endpoints. Entries that lapsed during an outage came back
-without a change in the feed, and only whole reads find them; while some are missing, each read is whole. A
-router that passes its list on does that for the boxes that ask it: with whole reads of their own, which no
-router holds, each of them would ask some hundred times a second."""
+"""Longest time between snapshots of the list of endpoints. Entries that expired during an outage of the table
+service may return without a change in the feed, so that only snapshots show them. Routers read the snapshots
+for boxes that use their list."""
 
 OPERATORS_SNAPSHOT_INTERVAL_S = 8.0
-"""Seconds between two whole reads of operators' rows, twice LIST_WHOLE_S: every call is priced."""
+"""Longest time between snapshots of operators' rows."""
 
 LIST_PAUSE_S = 0.6
-"""Seconds between two reads of the list, which changes with every heartbeat: far below the two seconds
-in which new work for a leaving endpoint must stop. Every call is priced."""
+"""Pause between reads of the list, which changes with every heartbeat. Well below the two seconds in which
+new requests to a leaving endpoint must stop."""
 
 ROUTER_LIST_PAUSE_S = 0.2
-"""Seconds between a router's two reads of the list."""
+"""The same for a router that follows the table service."""
 
 
 async def follow_operators(state: BoxState, feeds: Feeds) -> None:
-    """Keep the configuration and the named versions up to date."""
+    """Keep the configuration and the target versions up to date."""
 
     def apply(changes: OperatorChanges, asked_at: float) -> None:
         apply_operators(state, changes, asked_at)
@@ -98,11 +97,11 @@
 
 @dataclass(frozen=True)
 class Feed(Generic[Changes]):
-    """One thing that is followed in the table service.
+    """A feed of the table service, and how to follow it.
 
-    apply takes the changes and when their question was asked. unreached hears that the table service itself
-    gave no answer. whole_now tells whether everything has to be read; whole_s is the longest time between two
-    such reads, pause_s returns the pause after an answer.
+    apply: takes the changes and when they were requested. on_unreachable: called when a call gets no answer.
+    snapshot_needed: tells whether to read a snapshot now. snapshot_interval_s: longest time between
+    snapshots. pause_s: returns the pause after an answer.
     """
 
     name: str
@@ -116,7 +115,7 @@
 
 
 async def _follow(state: BoxState, feed: Feed[Changes]) -> None:
-    """Read everything, then follow its changes; read everything again from time to time."""
+    """Read a snapshot, then follow changes, with a new snapshot at intervals or when needed."""
     revision: int | None = None
     snapshot_at = float("-inf")
     lost = False
@@ -148,20 +147,20 @@
 
 
 def retry_pause_s(state: BoxState, failures: int) -> float:
-    """Return the pause before a call to the table service is made again after so many without an answer."""
+    """Return the pause before the next call to the table service after so many failures in a row."""
     uses_routers = bool(state.routers) and not state.is_follower
     return ROUTED_RETRY_S if uses_routers and failures > MAX_QUICK_RETRIES else RETRY_S
 
 
 def _list_pause_s(state: BoxState) -> float:
-    """Return the pause before the list is asked for again. A router that is asked holds the question."""
+    """Return the pause before the list is read again, 0 where a router is asked, which holds the request."""
     if state.list_from_router:
         return 0.0
     return ROUTER_LIST_PAUSE_S if state.is_follower else LIST_PAUSE_S
 
 
 def apply_operators(state: BoxState, changes: OperatorChanges, asked_at: float) -> None:
-    """Put a newer configuration in force, and note newly named versions."""
+    """Apply a newer configuration, and record new target versions."""
     if changes.unreadable:
         state.log.line(LogEvent.CONFIGURATION, outcome="kept", unreadable=changes.unreadable)
     before = _operators_state(state)
@@ -170,7 +169,7 @@
         _apply_catalog(state, changes.catalog)
     if state.view_asked_at == NEVER:
         state.target_versions_at_start = dict(changes.versions_by_model)
-    # A version may have been named as soon as the last view was asked for that did not show it.
+    # A version may have been set right after the last view without it was requested.
     last_view_at = state.last_view_at()
     named_at = monotonic() if last_view_at is None else last_view_at
     for model, version in changes.versions_by_model.items():
@@ -208,7 +207,7 @@
 
 
 def apply_endpoints(state: BoxState, changes: EndpointChanges, asked_at: float) -> None:
-    """Take in changes of the list, and log those that change who may get work."""
+    """Apply changes of the list, and log those of an endpoint's status."""
     before = _status_by_id(state)
     live_before = state.fleet.live()
     now = monotonic()
@@ -238,7 +237,7 @@
 
 
 def _apply_cold(state: BoxState, changes: EndpointChanges, now: float) -> None:
-    """Take in how long endpoints say that they are cold."""
+    """Record for how long endpoints report to be cold."""
     for endpoint in changes.present:
         endpoint_state = state.endpoint_state(endpoint)
         if endpoint.born >= endpoint_state.born:
@@ -246,7 +245,7 @@
 
 
 def _report_unreadable(state: BoxState, changes: EndpointChanges) -> None:
-    """Log and count entries that name no endpoint, once for as long as they stand."""
+    """Log and count invalid entries, each once until it is valid or gone."""
     if changes.whole:
         state.unreadable &= changes.unreadable.keys()
     for endpoint_id, why in changes.unreadable.items():
@@ -258,12 +257,10 @@
 
 
 def _earliest_removal(state: BoxState, now: float) -> float:
-    """Return since when an entry may be gone that the newest view is the first to lack.
+    """Return the earliest time at which entries missing from a new view can have been removed.
 
-    It may have been removed as soon as the last view was asked for that showed it: a box whose routers fall
-    silent notices late, and has that much less time to stop sending. Where the table service itself was asked
-    since and did not answer, the entry may have lapsed for that alone, and is given time from now on to come
-    back: else all endpoints would vanish at once after an outage. A router's silence is no outage.
+    That is when the last view was requested. After an outage of the table service it is now, since entries
+    may just have expired and would else all be dropped at once; a router without an answer is no outage.
     """
     return now if state.list_unreachable_at > state.list_asked_at else state.list_asked_at
 
