--- a/stairquay/serving/orders.py
+++ b/stairquay/serving/orders.py
@@ -1,9 +1,8 @@
-"""Brings engines to newly named weights: one box at a time, under a lease in the table service.
+"""Rolls out new target versions to engines, by one box at a time, under a lease in the table service.
 
-The lease is written before each order and is short: a rival that saw no write for a while knows that no
-order was given since, and takes over soon after a holder has gone. The holder stops by its own clock; a
-rival waits until the holder must have stopped, and then as long again as the endpoints want between two
-holders. Nothing is written while all engines run what was named.
+The lease is short and written before orders are sent, so that another box can take over soon after the last
+write. The holder stops when the lease expires by its own clock; another box waits for that and for the
+handover time of the endpoints. Nothing is written while all engines run their target versions.
 """
 
 import asyncio
@@ -23,18 +22,18 @@
 
 LEASE_KEY = "lease/orders"
 POLL_INTERVAL_S = 0.15
-"""Seconds between two looks: a version is to be everywhere soon after it was named."""
+"""Time between checks for outdated engines."""
 
 MAX_REPORT_AGE_S = 0.3
-"""Age of an engine's report up to which it is not asked for another one while weights are replaced: reports
-lag by 0.2 s themselves. A router asks other routers' engines each two seconds only."""
+"""Age from which an outdated engine's report is fetched anew before an order. A router polls the engines of
+other routers too rarely for that."""
 
 LEASE_POLL_INTERVAL_S = 0.4
-"""Seconds between two reads of a lease that another box holds."""
+"""Time between reads of a lease that another box holds."""
 
 
 class RolloutController:
-    """Gives orders while this box holds the lease."""
+    """Sends orders to outdated engines while this box holds the lease."""
 
     def __init__(self, state: BoxState, own: OwnTable, peers: Peers) -> None:
         self.state = state
@@ -46,7 +45,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Look for engines that are behind, until cancelled."""
+        """Bring outdated engines to their target versions, until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             engines = self._engines_if_outdated()
@@ -66,8 +65,8 @@
                 self._issue(orders)
 
     async def _refresh_reports(self, engines: list[EngineState]) -> None:
-        """Ask engines for their state that are loading, since the next ones wait for them; and those behind
-        whose report is old, since an order that names an old count of orders does nothing."""
+        """Fetch the reports of loading engines, which the next ones wait for, and stale reports of outdated
+        engines, which reject an order with an old sequence number."""
         loading = [engine.id for engine in engines if engine.busy]
         stale = [name for name in self._outdated_ids(engines) if self._report_age_s(name) > MAX_REPORT_AGE_S]
         endpoints = [self.state.fleet.by_id.get(name) for name in dict.fromkeys(loading + stale)]
@@ -76,17 +75,17 @@
         )
 
     def _drop_orders_of_old_incarnations(self) -> None:
-        """Drop what was given to endpoints that have started again since: they know nothing of it."""
+        """Drop orders to endpoints that have restarted since, which do not know of them."""
         for key, order in list(self.issued.items()):
             endpoint_state = self.state.endpoints_by_id.get(key[0])
             if endpoint_state is not None and order.at < endpoint_state.known_since:
                 del self.issued[key]
 
     def _engines_if_outdated(self) -> list[EngineState]:
-        """Return all engines if any is behind and this box may have to order it: only routers know them.
+        """Return the states of all engines if any is outdated and this box is a router, else nothing.
 
-        Engines never go back to older weights, so that only a change of the list or a newly named version
-        can leave one behind.
+        Engines never return to older weights, so that only a change of the list or a new target version can
+        make one outdated.
         """
         if not self.state.is_router or self.state.stopping:
             return []
@@ -106,7 +105,7 @@
             self.state.apply_report(endpoint, report, monotonic())
 
     def _engine_states(self) -> list[EngineState]:
-        """Return the engines that take orders, a state for each model."""
+        """Return the states of engines that accept orders, one for each model."""
         catalog = self.state.catalog
         if catalog is None:
             return []
@@ -131,7 +130,7 @@
         )
 
     async def _hold_lease(self) -> bool:
-        """Hold the lease for the orders to give now: write it anew unless it was written just before."""
+        """Acquire or renew the lease unless it is still valid; tell whether this box holds it now."""
         if self.held_lease is not None:
             if self.held_lease.may_act(monotonic()):
                 return True
@@ -141,7 +140,7 @@
         return await self._write_lease(self.observed_lease.row, self.observed_lease.revision)
 
     async def _may_acquire(self) -> bool:
-        """Read the lease; tell whether its holder must have stopped long enough ago."""
+        """Read the lease; tell whether this box may acquire it."""
         found = await self.own.get(LEASE_KEY)
         if isinstance(found, Err):
             await asyncio.sleep(LEASE_POLL_INTERVAL_S)
@@ -153,7 +152,7 @@
         current = msgspec.json.decode(row.value, type=LeaseRow)
         now = monotonic()
         self.observed_lease = observe(self.observed_lease, current, row.revision, now)
-        # A box that held it before it was started anew is still the same holder to the endpoints.
+        # To the endpoints, a box that held the lease before its restart is the same holder.
         if current.holder == self.state.settings.id:
             return True
         handover_s = self.state.settings.lease.handover_s
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -1,4 +1,4 @@
-"""Watches engines and store boxes: their load, their weights, and the context they keep."""
+"""Watches engines and store boxes: their load, their weights and their caches."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -16,38 +16,38 @@
 from stairquay.serving.statements import apply_leaving
 
 OTHER_REPORT_INTERVAL_S = 2.0
-"""Seconds between a router's questions for the state of other routers' engines: orders need their count of
-orders, and a router's engines are shared out when it is gone."""
+"""Time between reports of engines that other routers place on. Orders need their sequence numbers, and this
+router may have to take them over."""
 
 EVENTS_LONG_POLL_S = 0.8
-"""Seconds for which a call waits for events."""
+"""Longest wait of a call for an engine's events."""
 
 EVENTS_PAUSE_S = 0.15
-"""Seconds between two calls for events: with each answer's events come in batches."""
+"""Pause between calls for events, so that they come in batches."""
 
 STORE_LONG_POLL_S = 0.4
-"""Seconds for which a call to a store box waits: its view counts only for a short while."""
+"""The same for a store box, whose view expires sooner."""
 
 RETRY_S = 0.3
-"""Seconds before a holder that did not answer is asked again."""
+"""Pause before a call that got no answer is retried."""
 
 MIN_SNAPSHOT_INTERVAL_S = 3.0
-"""Seconds between two whole lists of an engine: each holds up its work."""
+"""Shortest time between snapshots of an engine's cache, each of which delays its work."""
 
 RECONCILE_INTERVAL_S = 0.25
-"""Seconds between two looks at which endpoints there are."""
+"""Time between updates of the tasks to the list of endpoints."""
 
 MAX_FOLLOWER_SHARE = 0.8
-"""Share of a holder's places for followers that our boxes use together."""
+"""Share of the followers that an engine or store box accepts which the routers use together."""
 
 TaskKey = tuple[str, str]
-"""What is watched (`report`, `engine` or `store`): the endpoint's id and address, or the holder's address."""
+"""`report` with the endpoint's id and address, or `engine` or `store` with the address."""
 
 TaskFactory = Callable[[], Coroutine[Any, Any, None]]
 
 
 class EndpointWatcher:
-    """Runs a task for each engine's state, and one for each holder's events."""
+    """Runs a task for the reports of each engine, and one for the events of each cache."""
 
     def __init__(self, state: BoxState, peers: Peers) -> None:
         self.state = state
@@ -102,7 +102,7 @@
         return desired
 
     def _is_assigned(self, address: str, max_followers: int) -> bool:
-        """Tell whether this router is among those that follow a holder: each takes only so many."""
+        """Tell whether this router is among the limited number that follow a cache."""
         boxes = [router.id for router in self.state.routers]
         limit = max(1, int(max_followers * MAX_FOLLOWER_SHARE))
         if len(boxes) <= limit:
@@ -153,7 +153,7 @@
             await asyncio.sleep(EVENTS_PAUSE_S)
 
     async def _watch_store(self, address: str) -> None:
-        """Follow a store box. Its list is read first, and again whenever anything was missed."""
+        """Follow a store box, with a new snapshot whenever events were missed."""
         while True:
             asked_at = monotonic()
             snapshot = await self.peers.cache_snapshot(address)
@@ -176,7 +176,7 @@
             self.state.log.line(LogEvent.STORE_VIEW, store=address, outcome="dropped", cause=cause)
 
     async def _follow_store(self, address: str, incarnation: int, position: int) -> str:
-        """Take in a store box's events until its view cannot be trusted any more; return why."""
+        """Apply a store box's events until its view becomes invalid; return the cause."""
         while True:
             asked_at = monotonic()
             changes = await self.peers.cache_changes(address, position, STORE_LONG_POLL_S)
