--- a/stairquay/serving/boxes.py
+++ b/stairquay/serving/boxes.py
@@ -19,25 +19,24 @@
 
 KEY_PREFIX = "box/"
 HEARTBEAT_INTERVAL_S = 4.0
-"""Usual time between heartbeats of a box."""
 
 FIRST_HEARTBEAT_INTERVAL_S = 1.0
-"""Time between the first two heartbeats, so that boxes that start together find each other soon."""
+"""Shorter at first, so that boxes that start together find each other soon."""
 
 HEARTBEAT_INTERVAL_GROWTH = 4.0
-"""Factor by which the interval grows with each heartbeat, up to the usual one."""
+"""Factor per heartbeat, up to the usual interval."""
 
 MAX_BOXES_AT_MIN_INTERVAL = 20
-"""Boxes up to which the usual interval applies; above, it grows with their number to limit the calls."""
+"""With more boxes the interval grows with their number, to limit the calls."""
 
 MISSED_HEARTBEATS = 3.5
 """Intervals without a heartbeat after which a box counts as gone."""
 
 JITTER = 0.2
-"""Share of the interval by which it varies at random, so that boxes do not write together."""
+"""Random share of the interval, so that boxes do not write together."""
 
 RETRY_S = 0.5
-"""Pause after a failed write, before a box that starts or has versions to publish tries again."""
+"""Pause after a failed write."""
 
 
 class TargetVersion(msgspec.Struct, frozen=True):
@@ -51,9 +50,8 @@
 class BoxHeartbeat(msgspec.Struct, frozen=True):
     """A box's row, which changes with every heartbeat.
 
-    address, capacity, data_hall: as in core.routers.Member. named: target versions, by which boxes that start
-    know for how long weights have been replaced. viewed_at_s: time of the box's view by the table service's
-    clock; versions that `named` lacks were set later.
+    named: target versions, which tell starting boxes for how long weights have been replaced. viewed_at_s:
+    time of the box's view by the table service's clock; versions that `named` lacks were set later.
     """
 
     beat: int
@@ -114,7 +112,6 @@
         self.state.log.line(LogEvent.ROUTER, outcome="picked", routers=names, boxes=len(self.state.boxes))
 
     def _heartbeat_interval_s(self) -> float:
-        """Return the seconds between heartbeats, more where there are many boxes."""
         return HEARTBEAT_INTERVAL_S * max(1.0, len(self.state.boxes) / MAX_BOXES_AT_MIN_INTERVAL)
 
     def _next_pause_s(self) -> float:
@@ -163,10 +160,7 @@
         )
 
     def _has_unpublished_versions(self) -> bool:
-        """Tell whether this box has to publish a target version before its next heartbeat is due.
-
-        Only boxes that read the table service themselves do so: their rows are enough.
-        """
+        """Tell whether to publish a target version early, which only followers of the table service do."""
         return self.state.is_follower and self.state.target_version_by_model != self.published_versions
 
     def _learn_target_versions(self, rows: tuple[Row, ...]) -> None:
@@ -192,7 +186,6 @@
 
 
 def _member(row: Row) -> Member:
-    """Return the box that wrote a row."""
     beat = _decode_heartbeat(row)
     return Member(row.key.removeprefix(KEY_PREFIX), beat.address, beat.capacity, beat.data_hall)
 
--- a/stairquay/serving/following.py
+++ b/stairquay/serving/following.py
@@ -19,35 +19,29 @@
 Changes = TypeVar("Changes", OperatorChanges, EndpointChanges)
 
 LONG_POLL_S = 0.7
-"""Longest wait of a call for changes. It bounds the age of a box's view; one lost answer must not make the
-view expire."""
+"""Bounds the age of a box's view, which must not expire when one answer is lost."""
 
 ROUTER_LONG_POLL_S = 0.35
-"""The same for a router that forwards its view, which must be younger."""
+"""Shorter for a router, since it forwards its view."""
 
 RETRY_S = 0.25
-"""Pause before a failed call is retried."""
 
 ROUTED_RETRY_S = 1.0
-"""The same for a box that asks routers first, which retry sooner themselves."""
+"""Longer for a box that asks routers first, which retry sooner themselves."""
 
 MAX_QUICK_RETRIES = 2
-"""Failed calls in a row before ROUTED_RETRY_S applies; after fewer, a change could be known too late."""
+"""Failed calls in a row before ROUTED_RETRY_S applies."""
 
 LIST_SNAPSHOT_INTERVAL_S = 4.0
 """Longest time between snapshots of the list of endpoints. Entries that expired during an outage of the table
-service may return without a change in the feed, so that only snapshots show them. Routers read the snapshots
-for boxes that use their list."""
+service may return without a change in the feed. Routers read snapshots for the boxes that use their list."""
 
 OPERATORS_SNAPSHOT_INTERVAL_S = 8.0
-"""Longest time between snapshots of operators' rows."""
 
 LIST_PAUSE_S = 0.6
-"""Pause between reads of the list, which changes with every heartbeat. Well below the two seconds in which
-new requests to a leaving endpoint must stop."""
+"""Pause between reads of the list. Requests to a leaving endpoint must stop within two seconds."""
 
 ROUTER_LIST_PAUSE_S = 0.2
-"""The same for a router that follows the table service."""
 
 
 async def follow_operators(state: BoxState, feeds: Feeds) -> None:
@@ -99,9 +93,8 @@
 class Feed(Generic[Changes]):
     """A feed of the table service, and how to follow it.
 
-    apply: takes the changes and when they were requested. on_unreachable: called when a call gets no answer.
-    snapshot_needed: tells whether to read a snapshot now. snapshot_interval_s: longest time between
-    snapshots. pause_s: returns the pause after an answer.
+    apply: takes the changes and when they were requested. snapshot_needed: tells whether to read a snapshot
+    before snapshot_interval_s is over.
     """
 
     name: str
@@ -115,7 +108,7 @@
 
 
 async def _follow(state: BoxState, feed: Feed[Changes]) -> None:
-    """Read a snapshot, then follow changes, with a new snapshot at intervals or when needed."""
+    """Read a snapshot, then follow changes, with further snapshots."""
     revision: int | None = None
     snapshot_at = float("-inf")
     lost = False
@@ -147,7 +140,7 @@
 
 
 def retry_pause_s(state: BoxState, failures: int) -> float:
-    """Return the pause before the next call to the table service after so many failures in a row."""
+    """Return the pause after so many failed calls in a row."""
     uses_routers = bool(state.routers) and not state.is_follower
     return ROUTED_RETRY_S if uses_routers and failures > MAX_QUICK_RETRIES else RETRY_S
 
@@ -237,7 +230,6 @@
 
 
 def _apply_cold(state: BoxState, changes: EndpointChanges, now: float) -> None:
-    """Record for how long endpoints report to be cold."""
     for endpoint in changes.present:
         endpoint_state = state.endpoint_state(endpoint)
         if endpoint.born >= endpoint_state.born:
--- a/stairquay/serving/links.py
+++ b/stairquay/serving/links.py
@@ -32,13 +32,12 @@
 SERVICE = "stairquay.Boxes"
 
 KEEPALIVE_INTERVAL_MS = 1_000
-"""Time between keepalive pings, also on idle channels."""
 
 KEEPALIVE_TIMEOUT_MS = 500
 """Time after which an unanswered ping closes a channel: a box without power sends no reset."""
 
 SUSPECT_S = 1.0
-"""Seconds for which a router that did not answer is skipped."""
+"""How long a router that did not answer is skipped."""
 
 GRPC_OPTIONS: list[tuple[str, Any]] = [
     *CHANNEL_OPTIONS,
--- a/stairquay/serving/orders.py
+++ b/stairquay/serving/orders.py
@@ -22,14 +22,12 @@
 
 LEASE_KEY = "lease/orders"
 POLL_INTERVAL_S = 0.15
-"""Time between checks for outdated engines."""
 
 MAX_REPORT_AGE_S = 0.3
 """Age from which an outdated engine's report is fetched anew before an order. A router polls the engines of
 other routers too rarely for that."""
 
 LEASE_POLL_INTERVAL_S = 0.4
-"""Time between reads of a lease that another box holds."""
 
 
 class RolloutController:
--- a/stairquay/serving/ports.py
+++ b/stairquay/serving/ports.py
@@ -24,7 +24,6 @@
     """Why a feed returned no changes."""
 
     UNREACHED = "unreached"
-    """The table service did not answer."""
 
     HISTORY_GONE = "history_gone"
     """The changes after that revision are no longer kept: a snapshot has to be read."""
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -20,16 +20,14 @@
 router may have to take them over."""
 
 EVENTS_LONG_POLL_S = 0.8
-"""Longest wait of a call for an engine's events."""
 
 EVENTS_PAUSE_S = 0.15
-"""Pause between calls for events, so that they come in batches."""
+"""Lets events gather into batches between two calls."""
 
 STORE_LONG_POLL_S = 0.4
-"""The same for a store box, whose view expires sooner."""
+"""Shorter, since the view of a store box expires sooner."""
 
 RETRY_S = 0.3
-"""Pause before a call that got no answer is retried."""
 
 MIN_SNAPSHOT_INTERVAL_S = 3.0
 """Shortest time between snapshots of an engine's cache, each of which delays its work."""
