--- a/stairquay/serving/crashes.py
+++ b/stairquay/serving/crashes.py
@@ -9,7 +9,7 @@
 from stairquay.core.crashes import Crash
 from stairquay.core.fleet import Endpoint
 from stairquay.serving.event_log import LogEvent
-from stairquay.serving.jobs import Begun, Job
+from stairquay.serving.jobs import Job, StartedAttempt
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
 
@@ -26,14 +26,14 @@
         self.crashes_by_incarnation: dict[str, dict[str, Crash]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def connection_broken(self, job: Job, begun: Begun, events: int) -> None:
+    def connection_broken(self, job: Job, begun: StartedAttempt, events: int) -> None:
         """Probe the endpoint of a broken connection. events: events of the answer received before."""
         endpoint, now = begun.choice.endpoint, monotonic()
-        incarnation = f"{endpoint.id}/{begun.held.born}"
+        incarnation = f"{endpoint.id}/{begun.endpoint_state.born}"
         suspected = self.crashes_by_incarnation.get(incarnation)
         if suspected is None:
             suspected = self.crashes_by_incarnation[incarnation] = {}
-            task = asyncio.create_task(self._probe(endpoint, incarnation, begun.held.born))
+            task = asyncio.create_task(self._probe(endpoint, incarnation, begun.endpoint_state.born))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         suspected[job.digest] = Crash(
@@ -64,9 +64,9 @@
         return endpoint_id in self.state.fleet.by_id and known is not None and known.born == born
 
 
-def _events_received(job: Job, begun: Begun, events: int) -> int | None:
+def _events_received(job: Job, begun: StartedAttempt, events: int) -> int | None:
     """Return the events received, None if an engine had not begun its answer.
 
     A plain service answers only when done, so its missing answer does not show that it had not begun.
     """
-    return None if job.service.engine is not None and not begun.replied else events
+    return None if job.service.engine is not None and not begun.head_received else events
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -16,7 +16,7 @@
 from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.endpoint_chooser import Chooser
 from stairquay.serving.evacuation import takes_work
-from stairquay.serving.jobs import Begun, Job, Progress
+from stairquay.serving.jobs import Job, JobProgress, StartedAttempt
 from stairquay.serving.messages import Outcome
 from stairquay.serving.ports import BrokenAnswer, Endpoints, Reply, SendFailure
 from stairquay.serving.records import (
@@ -67,7 +67,7 @@
     async def run(self, job: Job, request: web.Request) -> Result[web.StreamResponse, Refusal]:
         """Run a job to its end. Return the response, already sent if it is a stream, or a refusal."""
         self.state.retry_budget(job.service.id).on_request(monotonic())
-        progress = Progress()
+        progress = JobProgress()
         while True:
             refusal = self._refusal_before_attempt(job, progress)
             if refusal is not None:
@@ -97,7 +97,7 @@
             if refusal is not None:
                 return self._give_up(job, progress, self._with_retry_after(job, refusal), request)
 
-    def _refusal_before_attempt(self, job: Job, progress: Progress) -> Refusal | None:
+    def _refusal_before_attempt(self, job: Job, progress: JobProgress) -> Refusal | None:
         """Return the refusal if nothing may be sent now, else None."""
         if job.deadline - monotonic() < MIN_REMAINING_S:
             return Refusal(ErrorKind.DEADLINE, progress.ran)
@@ -128,7 +128,7 @@
             return False
         return self.state.version_too_old(prompt.model, choice.version or 0, choice.placement.first_token_s)
 
-    def _refusal_after_failure(self, job: Job, progress: Progress) -> Refusal | None:
+    def _refusal_after_failure(self, job: Job, progress: JobProgress) -> Refusal | None:
         """Return the refusal if a failed job must not be retried, else None."""
         failure = progress.last
         assert failure is not None
@@ -148,12 +148,12 @@
         return None
 
     async def _attempt(
-        self, job: Job, choice: Choice, progress: Progress, request: web.Request
+        self, job: Job, choice: Choice, progress: JobProgress, request: web.Request
     ) -> web.StreamResponse | None:
         """Make one attempt. Return the caller's response, or None if it failed (`progress.last`)."""
         attempt = Attempt(job.call.id, choice.endpoint.id)
         endpoint_state = self.state.endpoint_state(choice.endpoint)
-        begun = Begun(choice, attempt, endpoint_state, monotonic())
+        begun = StartedAttempt(choice, attempt, endpoint_state, monotonic())
         # The local router has already counted the prompts that it placed.
         counted_by_local_router = choice.router == self.state.settings.id
         endpoint_state.in_flight += not counted_by_local_router
@@ -168,19 +168,23 @@
             if isinstance(sent, Err):
                 self._on_failed(job, begun, progress, sent.err_value)
                 return None
-            begun.replied = True
+            begun.head_received = True
             return await self._relay(job, begun, progress, sent.ok_value, request)
         finally:
             endpoint_state.in_flight -= not counted_by_local_router
             endpoint_state.waiting_tokens_by_request.pop(job.call.id, None)
 
-    def _apply_feedback(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
+    def _apply_feedback(self, begun: StartedAttempt, sent: Result[Reply, SendFailure]) -> None:
         """Apply the endpoint's feedback in the head of a reply."""
         said = sent.err_value.said if isinstance(sent, Err) else sent.ok_value.said
         if said is not None:
-            apply_feedback(self.state, begun.choice.endpoint, begun.held, said, begun.sent_at, monotonic())
+            apply_feedback(
+                self.state, begun.choice.endpoint, begun.endpoint_state, said, begun.sent_at, monotonic()
+            )
 
-    async def _send(self, job: Job, begun: Begun, progress: Progress) -> Result[Reply, SendFailure]:
+    async def _send(
+        self, job: Job, begun: StartedAttempt, progress: JobProgress
+    ) -> Result[Reply, SendFailure]:
         left_s = job.deadline - monotonic()
         after = progress.stream.last_event or job.call.resume_after
         dispatch = self._dispatch(job, begun.choice, left_s, after)
@@ -188,7 +192,9 @@
         def guard() -> bool:
             if not self._keys_fresh(job) or job.deadline <= monotonic() or self._quarantined_s(job) > 0:
                 return False
-            if not takes_work(self.state, begun.choice.endpoint) or is_backing_off(begun.held, monotonic()):
+            if not takes_work(self.state, begun.choice.endpoint) or is_backing_off(
+                begun.endpoint_state, monotonic()
+            ):
                 return False
             return not self._version_too_old(job, begun.choice)
 
@@ -211,7 +217,7 @@
         )
 
     async def _relay(
-        self, job: Job, begun: Begun, progress: Progress, reply: Reply, request: web.Request
+        self, job: Job, begun: StartedAttempt, progress: JobProgress, reply: Reply, request: web.Request
     ) -> web.StreamResponse | None:
         """Relay a reply. Return None if the attempt failed and the job may be retried."""
         try:
@@ -252,10 +258,10 @@
         return response
 
     def _handle_error_reply(
-        self, job: Job, begun: Begun, progress: Progress, reply: Reply, body: bytes
+        self, job: Job, begun: StartedAttempt, progress: JobProgress, reply: Reply, body: bytes
     ) -> bool:
         """Keep an endpoint's error reply. Return whether the job is retried instead of relaying it."""
-        progress.kept_reply = (reply, body)
+        progress.error_reply = (reply, body)
         should_retry = job.route.retryable and progress.runs + 1 < job.route.max_attempts
         if not should_retry:
             return False
@@ -266,19 +272,21 @@
         self._on_failed(job, begun, progress, failure)
         return True
 
-    def _on_first_output(self, job: Job, begun: Begun) -> None:
-        if begun.first_at is not None:
+    def _on_first_output(self, job: Job, begun: StartedAttempt) -> None:
+        if begun.first_byte_at is not None:
             return
-        begun.first_at = monotonic()
-        begun.held.waiting_tokens_by_request.pop(job.call.id, None)
-        record_first(self.state, job, begun.first_at)
+        begun.first_byte_at = monotonic()
+        begun.endpoint_state.waiting_tokens_by_request.pop(job.call.id, None)
+        record_first(self.state, job, begun.first_byte_at)
         placement = begun.choice.placement
         if placement is None or job.call.prompt is None:
             return
         record_prompt(self.state, job, placement)
         self.chooser.prefill_finished(begun.choice)
 
-    def _on_failed(self, job: Job, begun: Begun, progress: Progress, failure: SendFailure) -> None:
+    def _on_failed(
+        self, job: Job, begun: StartedAttempt, progress: JobProgress, failure: SendFailure
+    ) -> None:
         """Record a failed attempt."""
         now = monotonic()
         progress.last = failure
@@ -286,39 +294,39 @@
         progress.tried.add(begun.choice.endpoint.id)
         if failure.ran == ExecutionStatus.NOT_RUN:
             progress.refused += 1
-            begun.held.refused_until = now + BUSY_BACKOFF_S
+            begun.endpoint_state.refused_until = now + BUSY_BACKOFF_S
         else:
             progress.runs += 1
         if _counts_against_endpoint(failure):
-            begun.held.on_outcome(True, now)
+            begun.endpoint_state.on_outcome(True, now)
             if _was_unreachable(failure):
-                begun.held.unreachable_at = now
+                begun.endpoint_state.unreachable_at = now
         if failure.broke:
             self.crashes.connection_broken(job, begun, progress.stream.events)
         record_failed(self.state, job, begun, failure, now)
 
-    def _on_succeeded(self, job: Job, begun: Begun, reply: Reply, progress: Progress) -> None:
+    def _on_succeeded(self, job: Job, begun: StartedAttempt, reply: Reply, progress: JobProgress) -> None:
         now = monotonic()
         if reply.status < SERVER_ERROR:
             self.state.quarantine.record_served(job.digest)
-        begun.held.on_outcome(False, now)
-        begun.held.response_time_s += RESPONSE_TIME_WEIGHT * (
-            (now - begun.sent_at) - begun.held.response_time_s
+        begun.endpoint_state.on_outcome(False, now)
+        begun.endpoint_state.response_time_s += RESPONSE_TIME_WEIGHT * (
+            (now - begun.sent_at) - begun.endpoint_state.response_time_s
         )
         if reply.version is not None:
-            begun.held.version = max(begun.held.version, reply.version)
+            begun.endpoint_state.version = max(begun.endpoint_state.version, reply.version)
         record_answered(self.state, job, begun, reply, progress, now)
 
     def _give_up(
-        self, job: Job, progress: Progress, refusal: Refusal, request: web.Request
+        self, job: Job, progress: JobProgress, refusal: Refusal, request: web.Request
     ) -> Result[web.StreamResponse, Refusal]:
         """End a failed job with the endpoint's own error, a refusal, or a truncated stream."""
         if progress.stream.response is not None:
             cut(request)
             record_given_up(self.state, job, "cut", progress.ran, refusal)
             return Ok(progress.stream.response)
-        if progress.kept_reply is not None:
-            reply, body = progress.kept_reply
+        if progress.error_reply is not None:
+            reply, body = progress.error_reply
             record_given_up(self.state, job, "endpoint_error", progress.ran, refusal)
             return Ok(whole_response(reply, body))
         return Err(reconcile_status(refusal, progress.ran))
@@ -330,13 +338,13 @@
     return monotonic() + retry_after_s < min(until, job.deadline - MIN_REMAINING_S)
 
 
-def _no_endpoint_refusal(progress: Progress, retry_after_s: float | None) -> Refusal:
+def _no_endpoint_refusal(progress: JobProgress, retry_after_s: float | None) -> Refusal:
     if retry_after_s is None:
         return Refusal(ErrorKind.NO_ENDPOINT, progress.ran)
     return all_throttled(retry_after_s, progress.ran)
 
 
-def _attempt_outcome(response: web.StreamResponse | None, progress: Progress) -> Outcome:
+def _attempt_outcome(response: web.StreamResponse | None, progress: JobProgress) -> Outcome:
     """Return what an attempt that has just ended tells about its endpoint."""
     failure = progress.last
     if response is not None or failure is None:
@@ -358,7 +366,7 @@
     return failure.fault and failure.kind != ErrorKind.DEADLINE
 
 
-def _most_backlog_s(job: Job, progress: Progress) -> float | None:
+def _most_backlog_s(job: Job, progress: JobProgress) -> float | None:
     """Return the backlog in seconds above which a request is shed, None for those that are never shed.
 
     Only first attempts of the lowest priority are shed, so that the others still meet their objectives.
--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -18,7 +18,7 @@
 from stairquay.serving.endpoint_choice import Choice, ChoiceRequest
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.event_log import LogEvent
-from stairquay.serving.jobs import Job, Progress
+from stairquay.serving.jobs import Job, JobProgress
 from stairquay.serving.links import Links
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
@@ -54,7 +54,7 @@
         self.notices = notices
         self.random = random
 
-    async def choose(self, job: Job, progress: Progress, most_backlog_s: float | None) -> Choice | None:
+    async def choose(self, job: Job, progress: JobProgress, most_backlog_s: float | None) -> Choice | None:
         """Return the endpoint for a job, None if no endpoint can take it.
 
         most_backlog_s: backlog above which the caller rejects the job; None if it never does.
@@ -85,10 +85,10 @@
         )
 
     async def _ask_routers(
-        self, job: Job, prompt: PromptShape, request: PlaceRequest, progress: Progress
+        self, job: Job, prompt: PromptShape, request: PlaceRequest, progress: JobProgress
     ) -> Choice | None:
         best: Choice | None = None
-        progress.come_back_s = None
+        progress.retry_after_s = None
         for router in routers_for(self.state.member, self.state.placing_routers())[:ROUTERS_ASKED]:
             choice = await self._place(router, request, prompt, progress)
             best = self._keep_shorter_wait(best, choice)
@@ -109,7 +109,7 @@
             self.notices.add_ended(router, Ended(choice.ticket, outcome))
 
     async def _place(
-        self, router: Member, request: PlaceRequest, prompt: PromptShape, progress: Progress
+        self, router: Member, request: PlaceRequest, prompt: PromptShape, progress: JobProgress
     ) -> Choice | None:
         """Return a router's choice, None if it has none that this box may use."""
         try:
@@ -122,7 +122,7 @@
             return None
         if not reply.endpoint:
             if reply.come_back_s > 0:
-                progress.come_back_s = min(reply.come_back_s, progress.come_back_s or reply.come_back_s)
+                progress.retry_after_s = min(reply.come_back_s, progress.retry_after_s or reply.come_back_s)
             return None
         endpoint = self._usable_endpoint(reply, prompt)
         if endpoint is None:
@@ -189,7 +189,7 @@
         too_old = self.state.version_too_old(prompt.model, reply.version or 0, reply.first_token_s)
         return None if too_old else usable
 
-    def _choose_locally(self, job: Job, progress: Progress) -> Choice | None:
+    def _choose_locally(self, job: Job, progress: JobProgress) -> Choice | None:
         tried, backoffs_s = frozenset(progress.tried), backoffs_by_id(self.state, monotonic())
         wanted = ChoiceRequest(job.service, job.call.prompt, job.workspace, tried, backoffs_s=backoffs_s)
         choice = choose_and_save(self.state, job.catalog, wanted, self.random)
@@ -197,13 +197,13 @@
             count_sent(self.state, choice.endpoint, monotonic(), self.random)
         return choice
 
-    def retry_after_s(self, job: Job, progress: Progress) -> float | None:
+    def retry_after_s(self, job: Job, progress: JobProgress) -> float | None:
         """Return the seconds until an endpoint is expected to accept the job, None if none is throttled.
 
         The routers' estimate counts; without one, this box makes its own.
         """
-        if progress.come_back_s is not None:
-            return progress.come_back_s
+        if progress.retry_after_s is not None:
+            return progress.retry_after_s
         now = monotonic()
         backoffs_s = backoffs_by_id(self.state, now)
         return retry_after_s(self.state, job.service.id, progress.tried, backoffs_s, now, self.random)
@@ -224,7 +224,7 @@
         self,
         job: Job,
         prompt: PromptShape,
-        progress: Progress,
+        progress: JobProgress,
         most_backlog_s: float | None,
         may_wait: bool,
     ) -> PlaceRequest:
--- a/stairquay/serving/jobs.py
+++ b/stairquay/serving/jobs.py
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class Progress:
+class JobProgress:
     """What became of a job's attempts. runs: attempts that may have run. ran: the worst of all.
 
     come_back_s: the seconds after which a router said that an endpoint takes the job, where all have got what
@@ -51,18 +51,18 @@
     ran: ExecutionStatus = ExecutionStatus.NOT_RUN
     stream: StreamProgress = field(default_factory=StreamProgress)
     last: SendFailure | None = None
-    kept_reply: tuple[Reply, bytes] | None = None
-    come_back_s: float | None = None
+    error_reply: tuple[Reply, bytes] | None = None
+    retry_after_s: float | None = None
 
 
 @dataclass
-class Begun:
+class StartedAttempt:
     """An attempt under way at an endpoint. replied: the head of its answer has come. first_at: when its first
     byte or event came, in monotonic seconds."""
 
     choice: Choice
     attempt: Attempt
-    held: EndpointState
+    endpoint_state: EndpointState
     sent_at: float
-    replied: bool = False
-    first_at: float | None = None
+    head_received: bool = False
+    first_byte_at: float | None = None
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -6,7 +6,7 @@
 from stairquay.core.placement import Placement
 from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.event_log import LogEvent
-from stairquay.serving.jobs import Begun, Job, Progress
+from stairquay.serving.jobs import Job, JobProgress, StartedAttempt
 from stairquay.serving.ports import Reply, SendFailure, Statement
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import limit_of
@@ -28,7 +28,7 @@
     return inputs
 
 
-def record_sent(state: BoxState, job: Job, choice: Choice, progress: Progress) -> None:
+def record_sent(state: BoxState, job: Job, choice: Choice, progress: JobProgress) -> None:
     """Log where an attempt goes, and by which inputs that was decided."""
     inputs: dict[str, object] = {
         "endpoint": choice.endpoint.id,
@@ -86,7 +86,7 @@
         metrics.prompt_tokens.labels(metrics.labels.of(job.route.id), way).observe(tokens)
 
 
-def record_failed(state: BoxState, job: Job, begun: Begun, failure: SendFailure, now: float) -> None:
+def record_failed(state: BoxState, job: Job, begun: StartedAttempt, failure: SendFailure, now: float) -> None:
     """Log and count a failed attempt."""
     state.metrics.attempts.labels(job.service.id, failure.kind.value).inc()
     state.log.line(
@@ -98,7 +98,7 @@
         detail=failure.detail,
         status=failure.status,
         took_s=now - begun.sent_at,
-        failing=begun.held.current_failure_rate(now),
+        failing=begun.endpoint_state.current_failure_rate(now),
         broke=failure.broke,
         digest=job.digest,
         **said_inputs(failure.said),
@@ -120,7 +120,7 @@
 
 
 def record_answered(
-    state: BoxState, job: Job, begun: Begun, reply: Reply, progress: Progress, now: float
+    state: BoxState, job: Job, begun: StartedAttempt, reply: Reply, progress: JobProgress, now: float
 ) -> None:
     """Log and count a job whose answer was passed on whole."""
     metrics = state.metrics
@@ -137,7 +137,7 @@
         endpoint=begun.choice.endpoint.id,
         version=reply.version,
         events=progress.stream.events,
-        first_s=None if begun.first_at is None else begun.first_at - job.arrived_at,
+        first_s=None if begun.first_byte_at is None else begun.first_byte_at - job.arrived_at,
         took_s=now - job.arrived_at,
         **said_inputs(reply.said),
     )
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -18,7 +18,7 @@
 from stairquay.serving.dispatch import Dispatcher
 from stairquay.serving.endpoint_choice import Choice, ChoiceRequest, choose_endpoint
 from stairquay.serving.following import apply_endpoints
-from stairquay.serving.jobs import Job, Progress
+from stairquay.serving.jobs import Job, JobProgress
 from stairquay.serving.messages import Outcome
 from stairquay.serving.ports import EndpointChanges, EngineReport, SendFailure, Statement
 from stairquay.serving.state import BoxState
@@ -119,10 +119,10 @@
         self.state, self.said = state, said
         self.may_go: list[bool] = []
 
-    async def choose(self, job: Job, progress: Progress, most_backlog_s: float | None) -> Choice | None:
+    async def choose(self, job: Job, progress: JobProgress, most_backlog_s: float | None) -> Choice | None:
         return None if self.may_go else Choice(PLAIN)
 
-    def retry_after_s(self, job: Job, progress: Progress) -> float | None:
+    def retry_after_s(self, job: Job, progress: JobProgress) -> float | None:
         return None
 
     def retry_after_backoff_s(self, job: Job) -> float | None:
