--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -29,7 +29,7 @@
     record_sent,
 )
 from stairquay.serving.refusals import RETRY_AFTER_S, all_throttled, overloaded, reconcile_status
-from stairquay.serving.relay import cut, read_whole, relay_stream, whole_response
+from stairquay.serving.relay import abort_connection, buffered_response, read_body, relay_stream
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import apply_feedback, is_backing_off, record_probe
 
@@ -186,7 +186,7 @@
         self, job: Job, begun: StartedAttempt, progress: JobProgress
     ) -> Result[Reply, SendFailure]:
         left_s = job.deadline - monotonic()
-        after = progress.stream.last_event or job.call.resume_after
+        after = progress.stream.last_event_id or job.call.resume_after
         dispatch = self._dispatch(job, begun.choice, left_s, after)
 
         def guard() -> bool:
@@ -227,8 +227,8 @@
                     reply,
                     progress.stream,
                     job.deadline,
-                    on_first=lambda: self._on_first_output(job, begun),
-                    last_on_connection=self.state.should_close_connections,
+                    on_first_event=lambda: self._on_first_output(job, begun),
+                    should_close=self.state.should_close_connections,
                 )
                 response = progress.stream.response
                 assert response is not None
@@ -236,13 +236,13 @@
                 # The caller already has the head of a stream, which no other answer may follow.
                 raise BrokenAnswer(f"status {reply.status} in place of the rest of a stream")
             else:
-                body = await read_whole(reply, job.deadline)
+                body = await read_body(reply, job.deadline)
                 if reply.status >= SERVER_ERROR and self._handle_error_reply(
                     job, begun, progress, reply, body
                 ):
                     return None
                 self._on_first_output(job, begun)
-                response = whole_response(reply, body)
+                response = buffered_response(reply, body)
         except (BrokenAnswer, TimeoutError) as error:
             kind = ErrorKind.DEADLINE if isinstance(error, TimeoutError) else ErrorKind.ENDPOINT_FAILED
             begun.attempt.lose()
@@ -322,13 +322,13 @@
     ) -> Result[web.StreamResponse, Refusal]:
         """End a failed job with the endpoint's own error, a refusal, or a truncated stream."""
         if progress.stream.response is not None:
-            cut(request)
+            abort_connection(request)
             record_given_up(self.state, job, "cut", progress.ran, refusal)
             return Ok(progress.stream.response)
         if progress.error_reply is not None:
             reply, body = progress.error_reply
             record_given_up(self.state, job, "endpoint_error", progress.ran, refusal)
-            return Ok(whole_response(reply, body))
+            return Ok(buffered_response(reply, body))
         return Err(reconcile_status(refusal, progress.ran))
 
 
--- a/stairquay/serving/relay.py
+++ b/stairquay/serving/relay.py
@@ -18,7 +18,7 @@
 MAX_EVENT_BYTES = 1_000_000
 """Longest event that is held back until it is whole: far above the usual 360 bytes."""
 
-MAX_ANSWER_BYTES = 16_000_000
+MAX_RESPONSE_BYTES = 16_000_000
 """Longest answer that is held whole before it is passed on."""
 
 
@@ -27,22 +27,22 @@
     """How far a stream has come at the caller. `response` is None until its head was sent."""
 
     response: web.StreamResponse | None = None
-    last_event: str | None = None
+    last_event_id: str | None = None
     events: int = 0
 
 
-async def read_whole(reply: Reply, deadline: float) -> bytes:
+async def read_body(reply: Reply, deadline: float) -> bytes:
     """Return a short answer's body; raises BrokenAnswer or TimeoutError."""
     body = bytearray()
     async with asyncio.timeout(deadline - monotonic()):
         async for chunk in reply.chunks():
             body += chunk
-            if len(body) > MAX_ANSWER_BYTES:
+            if len(body) > MAX_RESPONSE_BYTES:
                 raise BrokenAnswer("the answer is too large")
     return bytes(body)
 
 
-def whole_response(reply: Reply, body: bytes) -> web.Response:
+def buffered_response(reply: Reply, body: bytes) -> web.Response:
     """Return a short answer as the endpoint gave it."""
     response = web.Response(status=reply.status, body=body)
     response.headers.clear()
@@ -56,54 +56,54 @@
     reply: Reply,
     progress: StreamProgress,
     deadline: float,
-    on_first: Callable[[], None],
-    last_on_connection: Callable[[], bool],
+    on_first_event: Callable[[], None],
+    should_close: Callable[[], bool],
 ) -> None:
     """Pass a stream on, whole events only; raises BrokenAnswer or TimeoutError where it ends early.
 
     The head goes out with the first event, so that a stream that breaks before it can still be refused.
     """
     async with asyncio.timeout(deadline - monotonic()):
-        async for events in _whole_events(reply.chunks()):
+        async for events in _complete_events(reply.chunks()):
             if progress.response is None:
-                progress.response = await _send_head(request, reply, last_on_connection())
+                progress.response = await _send_head(request, reply, should_close())
             if progress.events == 0:
-                on_first()
+                on_first_event()
             await progress.response.write(events)
-            _advance(progress, events)
+            _record_events(progress, events)
         if progress.response is None:
-            progress.response = await _send_head(request, reply, last_on_connection())
+            progress.response = await _send_head(request, reply, should_close())
         await progress.response.write_eof()
 
 
-def cut(request: web.Request) -> None:
+def abort_connection(request: web.Request) -> None:
     """Cut the caller's connection, so that an answer that broke off cannot be taken for a whole one."""
     if request.transport is not None:
         request.transport.abort()
 
 
-async def _whole_events(chunks: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
+async def _complete_events(chunks: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
     """Yield the bytes up to the last event that is whole; what is left at a clean end comes last."""
-    held = b""
+    buffer = b""
     async for chunk in chunks:
-        held += chunk
-        end = held.rfind(EVENT_END)
+        buffer += chunk
+        end = buffer.rfind(EVENT_END)
         if end < 0:
-            if len(held) > MAX_EVENT_BYTES:
+            if len(buffer) > MAX_EVENT_BYTES:
                 raise BrokenAnswer("an event is too large")
             continue
         end += len(EVENT_END)
-        yield held[:end]
-        held = held[end:]
-    if held:
-        yield held
+        yield buffer[:end]
+        buffer = buffer[end:]
+    if buffer:
+        yield buffer
 
 
-async def _send_head(request: web.Request, reply: Reply, last: bool) -> web.StreamResponse:
+async def _send_head(request: web.Request, reply: Reply, close: bool) -> web.StreamResponse:
     response = web.StreamResponse(status=reply.status)
     for name, value in reply.headers:
         response.headers.add(name, value)
-    if last:
+    if close:
         response.force_close()
     if request.version >= (1, 1):
         response.enable_chunked_encoding()
@@ -111,8 +111,8 @@
     return response
 
 
-def _advance(progress: StreamProgress, events: bytes) -> None:
+def _record_events(progress: StreamProgress, events: bytes) -> None:
     progress.events += events.count(EVENT_END)
     ids = EVENT_ID.findall(events)
     if ids:
-        progress.last_event = ids[-1].decode(errors="replace")
+        progress.last_event_id = ids[-1].decode(errors="replace")
