--- a/stairquay/serving/jobs.py
+++ b/stairquay/serving/jobs.py
@@ -1,4 +1,4 @@
-"""A request that is to run, and what became of its attempts so far."""
+"""A caller's request and the state of its attempts."""
 
 from dataclasses import dataclass, field
 from functools import cached_property
@@ -15,7 +15,10 @@
 
 @dataclass(frozen=True)
 class Job:
-    """A request that is to run. `deadline` is monotonic: the caller's time or the route's limit."""
+    """A caller's request with its resolved route, service and workspace.
+
+    arrived_at, deadline: monotonic seconds.
+    """
 
     call: Call
     body: bytes
@@ -28,21 +31,22 @@
 
     @property
     def workspace_id(self) -> str:
-        """Return the workspace's id, empty where the route needs no key."""
+        """Return the workspace's id, empty if the route needs no API key."""
         return "" if self.workspace is None else self.workspace.id
 
     @cached_property
     def digest(self) -> str:
-        """Return the name by which the request is known when it comes again, under another id."""
+        """Return the digest of the request's content, which identifies repeats of it under other ids."""
         return request_digest(self.call, self.body)
 
 
 @dataclass
 class JobProgress:
-    """What became of a job's attempts. runs: attempts that may have run. ran: the worst of all.
+    """Results of a job's attempts so far.
 
-    come_back_s: the seconds after which a router said that an endpoint takes the job, where all have got what
-    they take.
+    tried: ids of endpoints. refused: attempts that did not run. runs: attempts that may have run. ran: the
+    worst status of all attempts. last: the last failure. error_reply: the last 5xx reply, with its body.
+    retry_after_s: the routers' estimate of the seconds until an endpoint accepts the job.
     """
 
     tried: set[str] = field(default_factory=set)
@@ -57,8 +61,10 @@
 
 @dataclass
 class StartedAttempt:
-    """An attempt under way at an endpoint. replied: the head of its answer has come. first_at: when its first
-    byte or event came, in monotonic seconds."""
+    """An attempt in progress at an endpoint.
+
+    sent_at, first_byte_at: monotonic seconds. head_received: the response head was received.
+    """
 
     choice: Choice
     attempt: Attempt
--- a/stairquay/serving/relay.py
+++ b/stairquay/serving/relay.py
@@ -1,6 +1,6 @@
-"""Brings an endpoint's answer to the caller: whole where it is short, event by event where it streams.
+"""Relays an endpoint's response to the caller, either buffered or as a stream of events.
 
-An answer that breaks off never looks complete: the caller's connection is cut instead.
+If a stream breaks off, the caller's connection is aborted, so that it is not taken as complete.
 """
 
 import asyncio
@@ -16,15 +16,15 @@
 EVENT_END = b"\n\n"
 EVENT_ID = re.compile(rb"^id: ?(.*?)\r?$", re.MULTILINE)
 MAX_EVENT_BYTES = 1_000_000
-"""Longest event that is held back until it is whole: far above the usual 360 bytes."""
+"""Maximum size of an event, which is buffered until it is complete."""
 
 MAX_RESPONSE_BYTES = 16_000_000
-"""Longest answer that is held whole before it is passed on."""
+"""Maximum size of a response body that is buffered before it is sent."""
 
 
 @dataclass
 class StreamProgress:
-    """How far a stream has come at the caller. `response` is None until its head was sent."""
+    """What was sent of a stream to the caller. response: None until the response head is sent."""
 
     response: web.StreamResponse | None = None
     last_event_id: str | None = None
@@ -32,18 +32,21 @@
 
 
 async def read_body(reply: Reply, deadline: float) -> bytes:
-    """Return a short answer's body; raises BrokenAnswer or TimeoutError."""
+    """Return the body of a response that is not streamed.
+
+    Raises BrokenAnswer if it breaks off or is too large, and TimeoutError at the deadline.
+    """
     body = bytearray()
     async with asyncio.timeout(deadline - monotonic()):
         async for chunk in reply.chunks():
             body += chunk
             if len(body) > MAX_RESPONSE_BYTES:
-                raise BrokenAnswer("the answer is too large")
+                raise BrokenAnswer(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
     return bytes(body)
 
 
 def buffered_response(reply: Reply, body: bytes) -> web.Response:
-    """Return a short answer as the endpoint gave it."""
+    """Return the caller's response with the endpoint's status, headers and buffered body."""
     response = web.Response(status=reply.status, body=body)
     response.headers.clear()
     for name, value in reply.headers:
@@ -59,9 +62,9 @@
     on_first_event: Callable[[], None],
     should_close: Callable[[], bool],
 ) -> None:
-    """Pass a stream on, whole events only; raises BrokenAnswer or TimeoutError where it ends early.
+    """Relay a stream, complete events only. Raises BrokenAnswer or TimeoutError if it ends early.
 
-    The head goes out with the first event, so that a stream that breaks before it can still be refused.
+    The head is sent with the first event, so that a stream that breaks off earlier can still be retried.
     """
     async with asyncio.timeout(deadline - monotonic()):
         async for events in _complete_events(reply.chunks()):
@@ -77,20 +80,20 @@
 
 
 def abort_connection(request: web.Request) -> None:
-    """Cut the caller's connection, so that an answer that broke off cannot be taken for a whole one."""
+    """Abort the caller's connection, so that a truncated response is not taken as complete."""
     if request.transport is not None:
         request.transport.abort()
 
 
 async def _complete_events(chunks: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
-    """Yield the bytes up to the last event that is whole; what is left at a clean end comes last."""
+    """Yield the bytes up to the end of the last complete event, and at a clean end of the stream the rest."""
     buffer = b""
     async for chunk in chunks:
         buffer += chunk
         end = buffer.rfind(EVENT_END)
         if end < 0:
             if len(buffer) > MAX_EVENT_BYTES:
-                raise BrokenAnswer("an event is too large")
+                raise BrokenAnswer(f"event exceeds {MAX_EVENT_BYTES} bytes")
             continue
         end += len(EVENT_END)
         yield buffer[:end]
