--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -21,11 +21,11 @@
 from stairquay.serving.ports import BrokenAnswer, Endpoints, Reply, SendFailure
 from stairquay.serving.records import (
     record_answered,
-    record_failed,
-    record_first,
-    record_given_up,
-    record_not_repeated,
-    record_prompt,
+    record_attempt_failed,
+    record_first_byte,
+    record_job_failed,
+    record_prompt_tokens,
+    record_retry_denied,
     record_sent,
 )
 from stairquay.serving.refusals import RETRY_AFTER_S, all_throttled, overloaded, reconcile_status
@@ -142,7 +142,7 @@
         elif progress.refused >= MAX_REFUSED:
             return refusal
         if not self.state.take_retry(job.service.id):
-            record_not_repeated(self.state, job)
+            record_retry_denied(self.state, job)
             return refusal
         self.state.metrics.repeats.labels(job.service.id).inc()
         return None
@@ -277,11 +277,11 @@
             return
         begun.first_byte_at = monotonic()
         begun.endpoint_state.waiting_tokens_by_request.pop(job.call.id, None)
-        record_first(self.state, job, begun.first_byte_at)
+        record_first_byte(self.state, job, begun.first_byte_at)
         placement = begun.choice.placement
         if placement is None or job.call.prompt is None:
             return
-        record_prompt(self.state, job, placement)
+        record_prompt_tokens(self.state, job, placement)
         self.chooser.prefill_finished(begun.choice)
 
     def _on_failed(
@@ -303,7 +303,7 @@
                 begun.endpoint_state.unreachable_at = now
         if failure.broke:
             self.crashes.connection_broken(job, begun, progress.stream.events)
-        record_failed(self.state, job, begun, failure, now)
+        record_attempt_failed(self.state, job, begun, failure, now)
 
     def _on_succeeded(self, job: Job, begun: StartedAttempt, reply: Reply, progress: JobProgress) -> None:
         now = monotonic()
@@ -323,11 +323,11 @@
         """End a failed job with the endpoint's own error, a refusal, or a truncated stream."""
         if progress.stream.response is not None:
             abort_connection(request)
-            record_given_up(self.state, job, "cut", progress.ran, refusal)
+            record_job_failed(self.state, job, "cut", progress.ran, refusal)
             return Ok(progress.stream.response)
         if progress.error_reply is not None:
             reply, body = progress.error_reply
-            record_given_up(self.state, job, "endpoint_error", progress.ran, refusal)
+            record_job_failed(self.state, job, "endpoint_error", progress.ran, refusal)
             return Ok(buffered_response(reply, body))
         return Err(reconcile_status(refusal, progress.ran))
 
--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -24,7 +24,7 @@
 from stairquay.serving.messages import Ended, Outcome, PartShape, PlaceReply, PlaceRequest
 from stairquay.serving.notices import NoticeSender
 from stairquay.serving.pacing import count_sent, retry_after_s
-from stairquay.serving.saving import choose_and_save
+from stairquay.serving.saving import choose_with_save_targets
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import backoffs_by_id, limit_of
 from stairquay.serving.telling import apply_peer_feedback, backoffs_for_router, feedback_for_peers
@@ -192,7 +192,7 @@
     def _choose_locally(self, job: Job, progress: JobProgress) -> Choice | None:
         tried, backoffs_s = frozenset(progress.tried), backoffs_by_id(self.state, monotonic())
         wanted = ChoiceRequest(job.service, job.call.prompt, job.workspace, tried, backoffs_s=backoffs_s)
-        choice = choose_and_save(self.state, job.catalog, wanted, self.random)
+        choice = choose_with_save_targets(self.state, job.catalog, wanted, self.random)
         if choice is not None:
             count_sent(self.state, choice.endpoint, monotonic(), self.random)
         return choice
--- a/stairquay/serving/local_router.py
+++ b/stairquay/serving/local_router.py
@@ -41,7 +41,7 @@
 )
 from stairquay.serving.pacing import count_sent, refund_sent, retry_after_s
 from stairquay.serving.ports import EndpointChanges, OperatorChanges
-from stairquay.serving.saving import choose_and_save
+from stairquay.serving.saving import choose_with_save_targets
 from stairquay.serving.state import BoxState
 from stairquay.serving.telling import apply_peer_feedback, feedback_for_peers, limit_feedback
 
@@ -194,7 +194,7 @@
         prompt = PromptShape(request.model, parts, request.tokens, request.max_output)
         workspace = WorkspacePolicy(request.wall, isolated=True) if request.wall else None
         wanted = ChoiceRequest(service, prompt, workspace, frozenset(request.tried), request.box, backoffs_s)
-        return choose_and_save(self.state, catalog, wanted, self.random)
+        return choose_with_save_targets(self.state, catalog, wanted, self.random)
 
     def _record_placement(self, request: PlaceRequest, choice: Choice) -> None:
         now = monotonic()
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -12,25 +12,25 @@
 from stairquay.serving.statements import limit_of
 
 
-def said_inputs(said: Statement | None) -> dict[str, object]:
+def feedback_fields(feedback: Statement | None) -> dict[str, object]:
     """Return what an answer said of its endpoint's use, as lines give it."""
-    if said is None:
+    if feedback is None:
         return {}
-    inputs: dict[str, object] = {}
-    if said.limit_per_s != UNLIMITED:
-        inputs["limit_per_s"] = said.limit_per_s
-    if said.leaving:
-        inputs["leaving"] = True
-    if said.rest_s:
-        inputs["rest_s"] = said.rest_s
-    if said.unreadable:
-        inputs["unreadable"] = {topic.value: text for topic, text in said.unreadable}
-    return inputs
+    fields: dict[str, object] = {}
+    if feedback.limit_per_s != UNLIMITED:
+        fields["limit_per_s"] = feedback.limit_per_s
+    if feedback.leaving:
+        fields["leaving"] = True
+    if feedback.rest_s:
+        fields["rest_s"] = feedback.rest_s
+    if feedback.unreadable:
+        fields["unreadable"] = {topic.value: text for topic, text in feedback.unreadable}
+    return fields
 
 
 def record_sent(state: BoxState, job: Job, choice: Choice, progress: JobProgress) -> None:
     """Log where an attempt goes, and by which inputs that was decided."""
-    inputs: dict[str, object] = {
+    fields: dict[str, object] = {
         "endpoint": choice.endpoint.id,
         "address": choice.endpoint.address,
         "service": job.service.id,
@@ -42,15 +42,15 @@
     }
     limit_per_s = limit_of(state.endpoint_state(choice.endpoint))
     if limit_per_s < UNLIMITED:
-        inputs["limit_per_s"] = limit_per_s
+        fields["limit_per_s"] = limit_per_s
     if choice.placement is not None:
-        inputs.update(_placement_inputs(state, choice, choice.placement))
+        fields.update(_placement_fields(state, choice, choice.placement))
     if choice.version is not None and job.call.prompt is not None:
-        inputs["replaced_s"] = state.replaced_for_s(job.call.prompt.model, choice.version)
-    state.log.line(LogEvent.SENT, job.call.id, **inputs)
+        fields["replaced_s"] = state.replaced_for_s(job.call.prompt.model, choice.version)
+    state.log.line(LogEvent.SENT, job.call.id, **fields)
 
 
-def _placement_inputs(state: BoxState, choice: Choice, placement: Placement) -> dict[str, object]:
+def _placement_fields(state: BoxState, choice: Choice, placement: Placement) -> dict[str, object]:
     return {
         "version": choice.version,
         "router": choice.router or state.settings.id,
@@ -68,14 +68,14 @@
     }
 
 
-def record_first(state: BoxState, job: Job, first_at: float) -> None:
+def record_first_byte(state: BoxState, job: Job, first_byte_at: float) -> None:
     """Measure the time until the first byte of the answer."""
     metrics = state.metrics
     labels = metrics.labels.of(job.workspace_id), metrics.labels.of(job.route.id)
-    metrics.first_byte.labels(*labels).observe(first_at - job.arrived_at)
+    metrics.first_byte.labels(*labels).observe(first_byte_at - job.arrived_at)
 
 
-def record_prompt(state: BoxState, job: Job, placement: Placement) -> None:
+def record_prompt_tokens(state: BoxState, job: Job, placement: Placement) -> None:
     """Measure how the engine was expected to get the prompt."""
     metrics = state.metrics
     for way, tokens in (
@@ -86,7 +86,9 @@
         metrics.prompt_tokens.labels(metrics.labels.of(job.route.id), way).observe(tokens)
 
 
-def record_failed(state: BoxState, job: Job, begun: StartedAttempt, failure: SendFailure, now: float) -> None:
+def record_attempt_failed(
+    state: BoxState, job: Job, begun: StartedAttempt, failure: SendFailure, now: float
+) -> None:
     """Log and count a failed attempt."""
     state.metrics.attempts.labels(job.service.id, failure.kind.value).inc()
     state.log.line(
@@ -101,11 +103,11 @@
         failing=begun.endpoint_state.current_failure_rate(now),
         broke=failure.broke,
         digest=job.digest,
-        **said_inputs(failure.said),
+        **feedback_fields(failure.said),
     )
 
 
-def record_not_repeated(state: BoxState, job: Job) -> None:
+def record_retry_denied(state: BoxState, job: Job) -> None:
     """Log that a failed job is not sent again because the budget for that is spent."""
     budget = state.retry_budget(job.service.id)
     state.log.line(
@@ -139,11 +141,13 @@
         events=progress.stream.events,
         first_s=None if begun.first_byte_at is None else begun.first_byte_at - job.arrived_at,
         took_s=now - job.arrived_at,
-        **said_inputs(reply.said),
+        **feedback_fields(reply.said),
     )
 
 
-def record_given_up(state: BoxState, job: Job, outcome: str, ran: ExecutionStatus, refusal: Refusal) -> None:
+def record_job_failed(
+    state: BoxState, job: Job, outcome: str, ran: ExecutionStatus, refusal: Refusal
+) -> None:
     """Log and count a job that ended with an endpoint's error or a cut stream."""
     state.metrics.ended.labels(state.metrics.labels.of(job.route.id), outcome).inc()
     state.log.line(
--- a/stairquay/serving/saving.py
+++ b/stairquay/serving/saving.py
@@ -11,18 +11,18 @@
 from stairquay.serving.engine_views import fresh_stores
 from stairquay.serving.state import BoxState
 
-FULL_SHARE = 0.95
+MAX_FILL_SHARE = 0.95
 """Share of a store box's room that is used: what others save at the same time is not yet known."""
 
 
-def choose_and_save(
-    state: BoxState, catalog: Catalog, wanted: ChoiceRequest, random: Random
+def choose_with_save_targets(
+    state: BoxState, catalog: Catalog, request: ChoiceRequest, random: Random
 ) -> Choice | None:
     """Return the best endpoint for a request, and which store boxes are to keep parts of its prompt."""
-    choice = choose_endpoint(state, catalog, wanted, random)
-    if choice is None or wanted.prompt is None:
+    choice = choose_endpoint(state, catalog, request, random)
+    if choice is None or request.prompt is None:
         return choice
-    return replace(choice, save_to=save_targets(state, catalog, wanted.prompt, choice))
+    return replace(choice, save_to=save_targets(state, catalog, request.prompt, choice))
 
 
 def save_targets(state: BoxState, catalog: Catalog, prompt: PromptShape, choice: Choice) -> tuple[str, ...]:
@@ -33,29 +33,31 @@
     stores = fresh_stores(state, catalog)
     if not stores:
         return ()
-    addresses = {store.address for store in stores}
-    targets = [_target(state, stores, addresses, choice.scope, part) for part in prompt.shared]
+    store_addresses = {store.address for store in stores}
+    targets = [_save_target(state, stores, store_addresses, choice.scope, part) for part in prompt.shared]
     if not any(targets):
         return ()
     return (*targets, "")
 
 
-def _target(state: BoxState, stores: list[StoreSpec], addresses: set[str], scope: str, part: Part) -> str:
-    if state.holdings.holders(scope, part.id) & addresses:
+def _save_target(
+    state: BoxState, stores: list[StoreSpec], store_addresses: set[str], scope: str, part: Part
+) -> str:
+    if state.holdings.holders(scope, part.id) & store_addresses:
         return ""
-    roomy = [store for store in stores if _has_room(state, store, part.tokens)]
-    if not roomy:
+    stores_with_room = [store for store in stores if _has_room(state, store, part.tokens)]
+    if not stores_with_room:
         return ""
     # The same part always goes to the same store box, so that boxes that do not know of each other's saves
     # do not make two copies. Larger boxes get more.
-    return max(roomy, key=lambda store: _rank(store, scope, part)).address
+    return max(stores_with_room, key=lambda store: _rendezvous_weight(store, scope, part)).address
 
 
-def _rank(store: StoreSpec, scope: str, part: Part) -> float:
-    draw = (xxhash.xxh64_intdigest(f"{store.id} {scope} {part.id}".encode()) + 1) / 2**64
-    return float(draw ** (1.0 / store.memory_tokens))
+def _rendezvous_weight(store: StoreSpec, scope: str, part: Part) -> float:
+    uniform = (xxhash.xxh64_intdigest(f"{store.id} {scope} {part.id}".encode()) + 1) / 2**64
+    return float(uniform ** (1.0 / store.memory_tokens))
 
 
 def _has_room(state: BoxState, store: StoreSpec, tokens: int) -> bool:
     holding = state.holdings.by_address.get(store.address)
-    return holding is not None and holding.total + tokens < store.memory_tokens * FULL_SHARE
+    return holding is not None and holding.total + tokens < store.memory_tokens * MAX_FILL_SHARE
