--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -1,4 +1,4 @@
-"""Log lines and metrics of a job's attempts and of its end."""
+"""Writes log lines and metrics about the attempts and the end of a job."""
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.errors import ExecutionStatus, Refusal
@@ -13,7 +13,7 @@
 
 
 def feedback_fields(feedback: Statement | None) -> dict[str, object]:
-    """Return what an answer said of its endpoint's use, as lines give it."""
+    """Return the log fields for an endpoint's feedback."""
     if feedback is None:
         return {}
     fields: dict[str, object] = {}
@@ -29,7 +29,7 @@
 
 
 def record_sent(state: BoxState, job: Job, choice: Choice, progress: JobProgress) -> None:
-    """Log where an attempt goes, and by which inputs that was decided."""
+    """Log an attempt's endpoint and the inputs of that choice."""
     fields: dict[str, object] = {
         "endpoint": choice.endpoint.id,
         "address": choice.endpoint.address,
@@ -69,14 +69,14 @@
 
 
 def record_first_byte(state: BoxState, job: Job, first_byte_at: float) -> None:
-    """Measure the time until the first byte of the answer."""
+    """Observe the time from arrival to the first byte of the response."""
     metrics = state.metrics
     labels = metrics.labels.of(job.workspace_id), metrics.labels.of(job.route.id)
     metrics.first_byte.labels(*labels).observe(first_byte_at - job.arrived_at)
 
 
 def record_prompt_tokens(state: BoxState, job: Job, placement: Placement) -> None:
-    """Measure how the engine was expected to get the prompt."""
+    """Observe how many prompt tokens the engine was expected to reuse, fetch and prefill."""
     metrics = state.metrics
     for way, tokens in (
         ("reused", placement.reused),
@@ -108,13 +108,13 @@
 
 
 def record_retry_denied(state: BoxState, job: Job) -> None:
-    """Log that a failed job is not sent again because the budget for that is spent."""
+    """Log that a failed job is not retried because the retry budget is exhausted."""
     budget = state.retry_budget(job.service.id)
     state.log.line(
         LogEvent.ATTEMPT_FAILED,
         job.call.id,
         outcome="not_sent_again",
-        detail="the budget for sending again is spent",
+        detail="retry budget exhausted",
         repeats=len(budget.retries),
         requests=len(budget.requests),
         boxes=len(state.boxes),
@@ -124,7 +124,7 @@
 def record_answered(
     state: BoxState, job: Job, begun: StartedAttempt, reply: Reply, progress: JobProgress, now: float
 ) -> None:
-    """Log and count a job whose answer was passed on whole."""
+    """Log and count a job whose response was relayed completely."""
     metrics = state.metrics
     route = metrics.labels.of(job.route.id)
     metrics.attempts.labels(job.service.id, "ok").inc()
@@ -148,7 +148,7 @@
 def record_job_failed(
     state: BoxState, job: Job, outcome: str, ran: ExecutionStatus, refusal: Refusal
 ) -> None:
-    """Log and count a job that ended with an endpoint's error or a cut stream."""
+    """Log and count a job that ended with an endpoint's error or a truncated stream."""
     state.metrics.ended.labels(state.metrics.labels.of(job.route.id), outcome).inc()
     state.log.line(
         LogEvent.ENDED,
--- a/stairquay/serving/saving.py
+++ b/stairquay/serving/saving.py
@@ -1,4 +1,4 @@
-"""Which store box keeps which part of a prompt."""
+"""Chooses the store boxes that keep a copy of each shared part of a prompt."""
 
 from dataclasses import replace
 from random import Random
@@ -12,13 +12,13 @@
 from stairquay.serving.state import BoxState
 
 MAX_FILL_SHARE = 0.95
-"""Share of a store box's room that is used: what others save at the same time is not yet known."""
+"""Share of a store box's memory to fill, which leaves room for saves by others that are not visible yet."""
 
 
 def choose_with_save_targets(
     state: BoxState, catalog: Catalog, request: ChoiceRequest, random: Random
 ) -> Choice | None:
-    """Return the best endpoint for a request, and which store boxes are to keep parts of its prompt."""
+    """Return the best endpoint for a request, with the store boxes that its prompt's parts are saved to."""
     choice = choose_endpoint(state, catalog, request, random)
     if choice is None or request.prompt is None:
         return choice
@@ -26,9 +26,9 @@
 
 
 def save_targets(state: BoxState, catalog: Catalog, prompt: PromptShape, choice: Choice) -> tuple[str, ...]:
-    """Return an address for each part that a store box should keep, empty where none should.
+    """Return for each part the address of the store box to save it to, empty for none.
 
-    Only parts that other requests may share are worth the room, and only one copy of each.
+    Only parts that other requests may share are saved, and each to one store box.
     """
     stores = fresh_stores(state, catalog)
     if not stores:
@@ -48,8 +48,8 @@
     stores_with_room = [store for store in stores if _has_room(state, store, part.tokens)]
     if not stores_with_room:
         return ""
-    # The same part always goes to the same store box, so that boxes that do not know of each other's saves
-    # do not make two copies. Larger boxes get more.
+    # Weighted rendezvous hashing: boxes that don't see each other's saves choose the same store box for a
+    # part, and each store box gets parts in proportion to its memory.
     return max(stores_with_room, key=lambda store: _rendezvous_weight(store, scope, part)).address
 
 
