--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -210,7 +210,7 @@
         state.metrics.quarantined.set(len(state.quarantine.quarantined_by_digest))
         state.metrics.view_age.set(state.view_age())
         state.metrics.replaced.set(state.oldest_replaced_s())
-        state.metrics.left_out.set(state.log.dropped_total)
+        state.metrics.dropped_log_lines.set(state.log.dropped_total)
         _measure_halls(state)
         return web.Response(body=state.metrics.text(), headers={"Content-Type": "text/plain; version=0.0.4"})
 
@@ -227,7 +227,7 @@
     metrics.cold.clear()
     metrics.limits.clear()
     metrics.leaving.clear()
-    metrics.rests.clear()
+    metrics.backoffs.clear()
     for endpoint in state.fleet.live():
         left_s = cold_for_s(state, endpoint, now)
         if left_s > 0:
@@ -238,7 +238,7 @@
         if endpoint.leaving:
             metrics.leaving.labels(endpoint.id).set(1)
     for name, rest_s in backoffs_by_id(state, now).items():
-        metrics.rests.labels(name).set(rest_s)
+        metrics.backoffs.labels(name).set(rest_s)
 
 
 async def _finish(state: BoxState) -> None:
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -144,7 +144,7 @@
         if not self.state.take_retry(job.service.id):
             record_retry_denied(self.state, job)
             return refusal
-        self.state.metrics.repeats.labels(job.service.id).inc()
+        self.state.metrics.retries.labels(job.service.id).inc()
         return None
 
     async def _attempt(
--- a/stairquay/serving/following.py
+++ b/stairquay/serving/following.py
@@ -250,7 +250,7 @@
     for endpoint_id, why in changes.unreadable.items():
         if endpoint_id not in state.unreadable:
             state.unreadable.add(endpoint_id)
-            state.metrics.unreadable.inc()
+            state.metrics.unreadable_entries.inc()
             state.log.line(LogEvent.ENDPOINTS, endpoint=endpoint_id, standing="unreadable", detail=why)
     state.unreadable.difference_update(item.id for item in changes.present)
 
--- a/stairquay/serving/links.py
+++ b/stairquay/serving/links.py
@@ -154,7 +154,7 @@
                 self._log(router, "regained", question)
             return answer
         self.state.suspect(router.id, SUSPECT_S)
-        self.state.metrics.silent_routers.inc()
+        self.state.metrics.unanswered_router_calls.inc()
         if router.id not in self.lost:
             self.lost.add(router.id)
             self._log(router, "lost", question)
--- a/stairquay/serving/metrics.py
+++ b/stairquay/serving/metrics.py
@@ -18,7 +18,7 @@
         )
         self.refusals = Counter("stairquay_refusals", "Refusals", ["kind", "ran"], registry=registry)
         self.attempts = Counter("stairquay_attempts", "Attempts", ["service", "outcome"], registry=registry)
-        self.repeats = Counter("stairquay_repeats", "Requests sent again", ["service"], registry=registry)
+        self.retries = Counter("stairquay_repeats", "Requests sent again", ["service"], registry=registry)
         self.first_byte = Histogram(
             "stairquay_first_byte_seconds",
             "Seconds from arrival to the first byte of the answer",
@@ -26,7 +26,7 @@
             buckets=TIME_BUCKETS,
             registry=registry,
         )
-        self.whole = Histogram(
+        self.response_time = Histogram(
             "stairquay_answer_seconds",
             "Seconds from arrival to the end of the answer",
             ["route"],
@@ -48,10 +48,10 @@
         self.peer_calls = Counter(
             "stairquay_peer_calls", "Calls to engines and store boxes", ["call", "outcome"], registry=registry
         )
-        self.silent_routers = Counter(
+        self.unanswered_router_calls = Counter(
             "stairquay_silent_routers", "Questions that a router did not answer", registry=registry
         )
-        self.unreadable = Counter(
+        self.unreadable_entries = Counter(
             "stairquay_unreadable_entries", "Entries of the list that name no endpoint", registry=registry
         )
         self.evacuated = Gauge(
@@ -78,13 +78,13 @@
             ["endpoint"],
             registry=registry,
         )
-        self.rests = Gauge(
+        self.backoffs = Gauge(
             "stairquay_endpoint_rest_seconds_left",
             "Seconds for which an endpoint wants nothing from this box",
             ["endpoint"],
             registry=registry,
         )
-        self.unreadable_statements = Counter(
+        self.unreadable_feedback = Counter(
             "stairquay_unreadable_statements",
             "Answers whose statement of their endpoint's use cannot be read",
             ["topic"],
@@ -109,7 +109,9 @@
             registry=registry,
         )
         self.leading = Gauge("stairquay_leading", "1 while this box holds the lease", registry=registry)
-        self.left_out = Gauge("stairquay_log_lines_left_out", "Log lines left out", registry=registry)
+        self.dropped_log_lines = Gauge(
+            "stairquay_log_lines_left_out", "Log lines left out", registry=registry
+        )
 
     def text(self) -> bytes:
         """Return the metrics as Prometheus reads them."""
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -129,7 +129,7 @@
     route = metrics.labels.of(job.route.id)
     metrics.attempts.labels(job.service.id, "ok").inc()
     metrics.ended.labels(route, "answered").inc()
-    metrics.whole.labels(route).observe(now - job.arrived_at)
+    metrics.response_time.labels(route).observe(now - job.arrived_at)
     state.log.line(
         LogEvent.ENDED,
         job.call.id,
--- a/stairquay/serving/statements.py
+++ b/stairquay/serving/statements.py
@@ -137,7 +137,7 @@
 
     The earlier feedback on this topic stays in force.
     """
-    state.metrics.unreadable_statements.labels(topic.value).inc()
+    state.metrics.unreadable_feedback.labels(topic.value).inc()
     if endpoint_state.unreadable_by_topic.get(topic) != text:
         endpoint_state.unreadable_by_topic[topic] = text
         state.log.line(
