--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -23,7 +23,7 @@
 from stairquay.serving.endpoint_chooser import Chooser
 from stairquay.serving.event_log import EventLog, LogEvent
 from stairquay.serving.following import follow_endpoints, follow_operators
-from stairquay.serving.front import Front
+from stairquay.serving.front import Frontend
 from stairquay.serving.links import Links
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.notices import NoticeSender
@@ -76,7 +76,7 @@
     chooser = Chooser(state, links, router, notices, chance)
     crashes = CrashDetector(state, surroundings.peers)
     dispatcher = Dispatcher(state, surroundings.endpoints, chooser, crashes)
-    front = Front(state, surroundings.callers, dispatcher, chance)
+    front = Frontend(state, surroundings.callers, dispatcher, chance)
     tasks = Tasks()
     parts_by_name = box_parts(state, surroundings, links, router, notices, chance)
     parts_by_name["reload"] = partial(_reload, state, load)
@@ -173,14 +173,14 @@
         await asyncio.sleep(PART_AGAIN_S)
 
 
-async def _listen_all(state: BoxState, front: Front, ready_path: str) -> list[web.AppRunner]:
+async def _listen_all(state: BoxState, front: Frontend, ready_path: str) -> list[web.AppRunner]:
     sites = [await _listen_front(state.settings, front), await _listen_readiness(state, ready_path)]
     if state.settings.metrics_port:
         sites.append(await _listen_metrics(state))
     return sites
 
 
-async def _listen_front(settings: BoxSettings, front: Front) -> web.AppRunner:
+async def _listen_front(settings: BoxSettings, front: Frontend) -> web.AppRunner:
     app = web.Application(client_max_size=0)
     app.router.add_route("*", "/{path:.*}", front.handle)
     return await listen(
--- a/stairquay/serving/front.py
+++ b/stairquay/serving/front.py
@@ -16,7 +16,7 @@
 from stairquay.serving.ports import Callers
 from stairquay.serving.state import BoxState
 
-BODY_S = 10.0
+BODY_TIMEOUT_S = 10.0
 """Seconds that a caller may take to send a body."""
 
 NOT_READY_RETRY_S = 0.05
@@ -26,17 +26,17 @@
 STOPPING_RETRY_S = 0.05
 """Seconds after which a caller should come back when this box stops: another box takes it at once."""
 
-DESCRIPTOR_SHARE = 0.35
+MAX_REQUESTS_PER_DESCRIPTOR = 0.35
 """Requests under way for each descriptor: one has a connection on both sides, and idle ones stay open."""
 
 BODY_MEMORY_SHARE = 0.25
 """Share of the box's memory that callers' bodies may take; the process itself takes 46 MB."""
 
-ANSWER_MARGIN_S = 0.02
+DEADLINE_MARGIN_S = 0.02
 """Seconds by which a job's deadline lies before the caller's."""
 
 
-class Front:
+class Frontend:
     """Handles callers' requests."""
 
     def __init__(self, state: BoxState, callers: Callers, dispatcher: Dispatcher, random: Random) -> None:
@@ -83,50 +83,54 @@
             return Err(Refusal(ErrorKind.STOPPING, ExecutionStatus.NOT_RUN, retry_after_s=STOPPING_RETRY_S))
         catalog = self.state.catalog
         if catalog is None or not self.state.fleet_known:
-            return Err(self._not_ready("no configuration yet"))
-        if self._crowded(request):
+            return Err(self._not_ready_refusal("no configuration yet"))
+        if self._is_overloaded(request):
             return Err(Refusal(ErrorKind.OVERLOADED, detail="this box has as many requests as it can hold"))
-        found = self._admit(catalog, call)
-        if isinstance(found, Err):
-            return found
-        route, workspace = found.ok_value
+        resolved = self._route_and_authenticate(catalog, call)
+        if isinstance(resolved, Err):
+            return resolved
+        route, workspace = resolved.ok_value
         body = await self._read_body(request, catalog)
         if isinstance(body, Err):
             return body
-        job = self._job(call, body.ok_value, catalog, route, workspace, arrived_at)
+        job = self._create_job(call, body.ok_value, catalog, route, workspace, arrived_at)
         if isinstance(job, Err):
             return job
-        self._count(job.ok_value)
+        self._count_request(job.ok_value)
         self.state.body_bytes += len(body.ok_value)
         try:
             return await self.dispatcher.run(job.ok_value, request)
         finally:
             self.state.body_bytes -= len(body.ok_value)
 
-    def _admit(self, catalog: Catalog, call: Call) -> Result[tuple[Route, WorkspacePolicy | None], Refusal]:
+    def _route_and_authenticate(
+        self, catalog: Catalog, call: Call
+    ) -> Result[tuple[Route, WorkspacePolicy | None], Refusal]:
         """Find the route, and the workspace that the key belongs to."""
-        fresh = self.state.keys_fresh()
+        keys_fresh = self.state.keys_fresh()
         route = catalog.route_for(call.host, call.path)
         if route is None:
-            return Err(Refusal(ErrorKind.UNKNOWN_PATH) if fresh else self._not_ready("view too old"))
+            return Err(
+                Refusal(ErrorKind.UNKNOWN_PATH) if keys_fresh else self._not_ready_refusal("view too old")
+            )
         if not catalog.needs_key(route):
             return Ok((route, None))
-        if not fresh:
-            return Err(self._not_ready("view too old for a key"))
+        if not keys_fresh:
+            return Err(self._not_ready_refusal("view too old for a key"))
         workspace = None if call.key is None else catalog.workspaces_by_key.get(call.key)
         if workspace is None:
             return Err(Refusal(ErrorKind.UNAUTHENTICATED))
         return Ok((route, workspace))
 
-    def _crowded(self, request: web.Request) -> bool:
+    def _is_overloaded(self, request: web.Request) -> bool:
         """Tell whether one more request might cost the box its memory or its descriptors."""
         settings = self.state.settings
-        if self.state.in_flight > settings.max_descriptors * DESCRIPTOR_SHARE:
+        if self.state.in_flight > settings.max_descriptors * MAX_REQUESTS_PER_DESCRIPTOR:
             return True
-        room = settings.memory_mb * 1_000_000 * BODY_MEMORY_SHARE
-        return room > 0 and self.state.body_bytes + (request.content_length or 0) > room
+        body_memory_bytes = settings.memory_mb * 1_000_000 * BODY_MEMORY_SHARE
+        return body_memory_bytes > 0 and self.state.body_bytes + (request.content_length or 0) > body_memory_bytes
 
-    def _not_ready(self, detail: str) -> Refusal:
+    def _not_ready_refusal(self, detail: str) -> Refusal:
         return Refusal(ErrorKind.NOT_READY, ExecutionStatus.NOT_RUN, detail, NOT_READY_RETRY_S)
 
     async def _read_body(self, request: web.Request, catalog: Catalog) -> Result[bytes, Refusal]:
@@ -137,7 +141,7 @@
             return Err(Refusal(ErrorKind.BODY_TOO_LARGE))
         body = bytearray()
         try:
-            async with asyncio.timeout(BODY_S):
+            async with asyncio.timeout(BODY_TIMEOUT_S):
                 async for chunk in request.content.iter_any():
                     body += chunk
                     if len(body) > limit:
@@ -148,7 +152,7 @@
             return Err(Refusal(ErrorKind.BAD_REQUEST, detail=str(error)))
         return Ok(bytes(body))
 
-    def _job(
+    def _create_job(
         self,
         call: Call,
         body: bytes,
@@ -160,11 +164,11 @@
         service = catalog.services_by_id.get(pick_service(route, self.random.random()))
         if service is None:
             return Err(Refusal(ErrorKind.NO_ENDPOINT, detail="the route names no known service"))
-        limit_s = route.timeout_s if call.time_left_s is None else min(call.time_left_s, route.timeout_s)
-        deadline = arrived_at + limit_s - ANSWER_MARGIN_S
+        timeout_s = route.timeout_s if call.time_left_s is None else min(call.time_left_s, route.timeout_s)
+        deadline = arrived_at + timeout_s - DEADLINE_MARGIN_S
         return Ok(Job(call, body, catalog, route, service, workspace, arrived_at, deadline))
 
-    def _count(self, job: Job) -> None:
+    def _count_request(self, job: Job) -> None:
         metrics = self.state.metrics
         metrics.requests.labels(metrics.labels.of(job.workspace_id), metrics.labels.of(job.route.id)).inc()
 
