--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -43,21 +43,21 @@
 """Seconds of serving on after the stop signal: the balancer asks each second and needs two misses.
 Callers keep using open connections, so that without an end to it the last requests would be cut."""
 
-PART_AGAIN_S = 0.5
+RESTART_DELAY_S = 0.5
 """Seconds before a part of the box that failed is started again."""
 
-CLOSE_S = 0.6
+CLOSE_TIMEOUT_S = 0.6
 """Seconds left at the end for closing connections."""
 
 MAX_FIELD_BYTES = 32_768
 """Longest header field and first line of a caller's request."""
 
-REREAD_S = 4.0
+RELOAD_INTERVAL_S = 4.0
 """Seconds between two readings of the settings: they may change without a signal."""
 
 LoadSettings = Callable[[], Result[BoxSettings, list[Mistake]]]
 OpenSurroundings = Callable[[], Surroundings]
-Work = Callable[[], Coroutine[Any, Any, None]]
+TaskFunction = Callable[[], Coroutine[Any, Any, None]]
 
 
 async def run_box(settings: BoxSettings, load: LoadSettings, open_surroundings: OpenSurroundings) -> None:
@@ -69,25 +69,25 @@
     state = BoxState(settings, log)
     state.boxes = (settings.id,)
     surroundings = open_surroundings()
-    chance = random.Random()
+    rng = random.Random()
     links = Links(state)
-    router = LocalRouter(state, chance)
+    router = LocalRouter(state, rng)
     notices = NoticeSender(state, links, router)
-    chooser = Chooser(state, links, router, notices, chance)
-    crashes = CrashDetector(state, surroundings.peers)
-    dispatcher = Dispatcher(state, surroundings.endpoints, chooser, crashes)
-    front = Frontend(state, surroundings.callers, dispatcher, chance)
+    chooser = Chooser(state, links, router, notices, rng)
+    crash_detector = CrashDetector(state, surroundings.peers)
+    dispatcher = Dispatcher(state, surroundings.endpoints, chooser, crash_detector)
+    front = Frontend(state, surroundings.callers, dispatcher, rng)
     tasks = Tasks()
-    parts_by_name = box_parts(state, surroundings, links, router, notices, chance)
-    parts_by_name["reload"] = partial(_reload, state, load)
-    for name, work in parts_by_name.items():
-        tasks.start(kept_running(state, name, work))
+    tasks_by_name = background_tasks(state, surroundings, links, router, notices, rng)
+    tasks_by_name["reload"] = partial(_reload_settings, state, load)
+    for name, task_function in tasks_by_name.items():
+        tasks.start(run_with_restarts(state, name, task_function))
     log.line(LogEvent.START, front=settings.front, data_hall=settings.data_hall)
-    sites = await _listen_all(state, front, surroundings.ready_path)
+    runners = await _listen_all(state, front, surroundings.ready_path)
     await until_stopped(tasks)
-    await _finish(state)
-    for site in sites:
-        await site.cleanup()
+    await _drain(state)
+    for runner in runners:
+        await runner.cleanup()
     log.line(LogEvent.STOP, in_flight=state.in_flight)
     log.flush()
     await tasks.cancel()
@@ -95,14 +95,14 @@
     await surroundings.close()
 
 
-def box_parts(
+def background_tasks(
     state: BoxState,
     surroundings: Surroundings,
     links: Links,
     router: LocalRouter,
     notices: NoticeSender,
-    chance: random.Random,
-) -> dict[str, Work]:
+    rng: random.Random,
+) -> dict[str, TaskFunction]:
     """Return by name what runs besides callers' requests, each until cancelled."""
     feeds = SharedFeeds(state, surroundings.feeds, links)
     crash_rows = CrashRowSync(state, surroundings.crashes)
@@ -116,37 +116,41 @@
         "endpoints": partial(follow_endpoints, state, feeds),
         "watching": Watcher(state, surroundings.peers).run,
         "orders": OrderGiver(state, surroundings.own, surroundings.peers).run,
-        "boxes": BoxList(state, surroundings.own, chance).run,
+        "boxes": BoxList(state, surroundings.own, rng).run,
         "upkeep": Upkeep(state, surroundings.peers).run,
         "crashes told": crash_rows.publish,
         "crashes followed": crash_rows.follow,
     }
 
 
-async def _reload(state: BoxState, load: LoadSettings) -> None:
+async def _reload_settings(state: BoxState, load: LoadSettings) -> None:
     """Put changed settings in force; those that cannot be read change nothing."""
     hangup = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, hangup.set)
-    complained = False
+    error_logged = False
     while True:
-        asked = await _happens(hangup, REREAD_S)
+        hangup_received = await _wait_for_event(hangup, RELOAD_INTERVAL_S)
         hangup.clear()
         loaded = load()
         if isinstance(loaded, Err):
-            if asked or not complained:
+            if hangup_received or not error_logged:
                 mistakes = [str(mistake) for mistake in loaded.err_value]
                 state.log.line(LogEvent.RELOAD, outcome="kept", mistakes=mistakes)
-            complained = True
+            error_logged = True
             continue
-        complained = False
+        error_logged = False
         changed = loaded.ok_value != state.settings
         if changed:
             state.use_settings(loaded.ok_value)
-        if changed or asked:
-            state.log.line(LogEvent.RELOAD, outcome="in_force" if changed else "unchanged", asked=asked)
+        if changed or hangup_received:
+            state.log.line(
+                LogEvent.RELOAD,
+                outcome="in_force" if changed else "unchanged",
+                asked=hangup_received,
+            )
 
 
-async def _happens(event: asyncio.Event, limit_s: float) -> bool:
+async def _wait_for_event(event: asyncio.Event, limit_s: float) -> bool:
     """Wait for an event; tell whether it came within the limit."""
     try:
         async with asyncio.timeout(limit_s):
@@ -156,11 +160,11 @@
     return True
 
 
-async def kept_running(state: BoxState, name: str, work: Work) -> None:
+async def run_with_restarts(state: BoxState, name: str, task_function: TaskFunction) -> None:
     """Run a part of the box. One that fails is told, and started again: a box never ends by itself."""
     while True:
         try:
-            await work()
+            await task_function()
         except asyncio.CancelledError:
             if being_cancelled():
                 raise
@@ -170,14 +174,14 @@
             frame = extract_tb(error.__traceback__)[-1]
             where = f"{frame.filename.rpartition('/')[2]}:{frame.lineno}"
             state.log.line(LogEvent.PART_FAILED, part=name, detail=repr(error), where=where)
-        await asyncio.sleep(PART_AGAIN_S)
+        await asyncio.sleep(RESTART_DELAY_S)
 
 
 async def _listen_all(state: BoxState, front: Frontend, ready_path: str) -> list[web.AppRunner]:
-    sites = [await _listen_front(state.settings, front), await _listen_readiness(state, ready_path)]
+    runners = [await _listen_front(state.settings, front), await _listen_readiness(state, ready_path)]
     if state.settings.metrics_port:
-        sites.append(await _listen_metrics(state))
-    return sites
+        runners.append(await _listen_metrics(state))
+    return runners
 
 
 async def _listen_front(settings: BoxSettings, front: Frontend) -> web.AppRunner:
@@ -189,7 +193,7 @@
         handler_cancellation=True,
         auto_decompress=False,
         keepalive_timeout=KEEP_ALIVE_S,
-        shutdown_timeout=CLOSE_S,
+        shutdown_timeout=CLOSE_TIMEOUT_S,
         max_field_size=MAX_FIELD_BYTES,
         max_line_size=MAX_FIELD_BYTES,
     )
@@ -211,7 +215,7 @@
         state.metrics.view_age.set(state.view_age())
         state.metrics.replaced.set(state.oldest_replaced_s())
         state.metrics.dropped_log_lines.set(state.log.dropped_total)
-        _measure_halls(state)
+        _update_endpoint_metrics(state)
         return web.Response(body=state.metrics.text(), headers={"Content-Type": "text/plain; version=0.0.4"})
 
     app = web.Application()
@@ -219,7 +223,7 @@
     return await listen(app, f"{state.settings.ip}:{state.settings.metrics_port}")
 
 
-def _measure_halls(state: BoxState) -> None:
+def _update_endpoint_metrics(state: BoxState) -> None:
     """Set the metrics of evacuated data halls, cold endpoints, and what endpoints say of their use."""
     metrics, now = state.metrics, monotonic()
     for hall in state.evacuated | state.evacuation_ended_at_by_hall.keys():
@@ -229,19 +233,19 @@
     metrics.leaving.clear()
     metrics.backoffs.clear()
     for endpoint in state.fleet.live():
-        left_s = cold_for_s(state, endpoint, now)
-        if left_s > 0:
-            metrics.cold.labels(endpoint.id).set(left_s)
-        per_s = limit_of(state.endpoint_state(endpoint))
-        if per_s < UNLIMITED:
-            metrics.limits.labels(endpoint.id).set(per_s)
+        remaining_s = cold_for_s(state, endpoint, now)
+        if remaining_s > 0:
+            metrics.cold.labels(endpoint.id).set(remaining_s)
+        limit_per_s = limit_of(state.endpoint_state(endpoint))
+        if limit_per_s < UNLIMITED:
+            metrics.limits.labels(endpoint.id).set(limit_per_s)
         if endpoint.leaving:
             metrics.leaving.labels(endpoint.id).set(1)
-    for name, rest_s in backoffs_by_id(state, now).items():
-        metrics.backoffs.labels(name).set(rest_s)
+    for name, backoff_s in backoffs_by_id(state, now).items():
+        metrics.backoffs.labels(name).set(backoff_s)
 
 
-async def _finish(state: BoxState) -> None:
+async def _drain(state: BoxState) -> None:
     """Turn unready, serve on until the balancer has seen it, then finish what is under way."""
     state.stopping = True
     state.changed.notify_all()
@@ -249,5 +253,5 @@
     await asyncio.sleep(LAME_DUCK_S)
     state.refusing = True
     state.log.line(LogEvent.STOP, outcome="refusing", in_flight=state.in_flight)
-    left_s = max(0.0, state.settings.stop_s - LAME_DUCK_S - 2 * CLOSE_S)
-    await wait_until(lambda: state.in_flight == 0, left_s)
+    remaining_s = max(0.0, state.settings.stop_s - LAME_DUCK_S - 2 * CLOSE_TIMEOUT_S)
+    await wait_until(lambda: state.in_flight == 0, remaining_s)
--- a/stairquay/serving/front.py
+++ b/stairquay/serving/front.py
@@ -128,7 +128,10 @@
         if self.state.in_flight > settings.max_descriptors * MAX_REQUESTS_PER_DESCRIPTOR:
             return True
         body_memory_bytes = settings.memory_mb * 1_000_000 * BODY_MEMORY_SHARE
-        return body_memory_bytes > 0 and self.state.body_bytes + (request.content_length or 0) > body_memory_bytes
+        return (
+            body_memory_bytes > 0
+            and self.state.body_bytes + (request.content_length or 0) > body_memory_bytes
+        )
 
     def _not_ready_refusal(self, detail: str) -> Refusal:
         return Refusal(ErrorKind.NOT_READY, ExecutionStatus.NOT_RUN, detail, NOT_READY_RETRY_S)
--- a/tests/test_box_state.py
+++ b/tests/test_box_state.py
@@ -3,7 +3,7 @@
 import asyncio
 import signal
 
-from stairquay.serving.app import kept_running
+from stairquay.serving.app import run_with_restarts
 from stairquay.serving.event_log import LogEvent
 from tests.site import MODEL, Site, configuration, eventually, route, site
 from tests.states import box_state
@@ -229,7 +229,7 @@
             await asyncio.sleep(30)
 
         state = box_state()
-        part = asyncio.create_task(kept_running(state, "work", work))
+        part = asyncio.create_task(run_with_restarts(state, "work", work))
         await eventually(lambda: len(runs) == 2, 3.0)
         part.cancel()
         await asyncio.wait([part], timeout=1.0)
--- a/tests/test_idle_box.py
+++ b/tests/test_idle_box.py
@@ -11,7 +11,7 @@
 from stairquay.core.catalog import Catalog
 from stairquay.core.clock import ClockOffset
 from stairquay.core.row import Row
-from stairquay.serving.app import box_parts
+from stairquay.serving.app import background_tasks
 from stairquay.serving.event_log import EventLog
 from stairquay.serving.following import apply_endpoints, apply_operators
 from stairquay.serving.links import Links
@@ -101,7 +101,7 @@
         surroundings = Surroundings(HeldFeeds(), Rows(), None, None, None, "", None, HeldCrashes())
         links, router = Links(state), LocalRouter(state, Random(1))
         notices = NoticeSender(state, links, router)
-        parts = box_parts(state, surroundings, links, router, notices, Random(1))
+        parts = background_tasks(state, surroundings, links, router, notices, Random(1))
         tasks = [asyncio.create_task(part()) for part in parts.values()]
         await asyncio.sleep(SETTLED_S)
         assert not state.is_router and len(state.boxes) > 200
