--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -33,7 +33,7 @@
 from stairquay.serving.sharing import SharedFeeds
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import backoffs_by_id, limit_of
-from stairquay.serving.upkeep import Upkeep
+from stairquay.serving.upkeep import StoreGarbageCollector
 from stairquay.serving.watching import Watcher
 
 KEEP_ALIVE_S = 120.0
@@ -117,7 +117,7 @@
         "watching": Watcher(state, surroundings.peers).run,
         "orders": OrderGiver(state, surroundings.own, surroundings.peers).run,
         "boxes": BoxList(state, surroundings.own, rng).run,
-        "upkeep": Upkeep(state, surroundings.peers).run,
+        "upkeep": StoreGarbageCollector(state, surroundings.peers).run,
         "crashes told": crash_rows.publish,
         "crashes followed": crash_rows.follow,
     }
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -17,85 +17,87 @@
 from stairquay.serving.ports import Peers
 from stairquay.serving.state import BoxState
 
-STEP_S = 1.0
+INTERVAL_S = 1.0
 """Seconds between two looks: room is needed again soon after a version is everywhere."""
 
-SETTLED_S = FETCH_TIMEOUT_S + 2.0
+UNUSED_GRACE_S = FETCH_TIMEOUT_S + 2.0
 """Seconds for which all engines must have run a newer version: every fetch begun before is over, and boxes
 that lagged behind know."""
 
-AT_ONCE = 400
+MAX_PARTS_PER_CALL = 400
 """Most parts freed with one call: about 20 kB."""
 
 
-class Upkeep:
+class StoreGarbageCollector:
     """Frees outdated parts, at one box of ours only."""
 
     def __init__(self, state: BoxState, peers: Peers) -> None:
         self.state = state
         self.peers = peers
-        self.oldest_by_model: dict[str, int] = {}
-        self.oldest_seen_by_model: dict[str, VersionHistory] = {}
+        self.oldest_version_by_model: dict[str, int] = {}
+        self.oldest_history_by_model: dict[str, VersionHistory] = {}
 
     async def run(self) -> None:
         """Look from time to time, until cancelled."""
         while True:
             # Only routers see what store boxes keep.
             await self.state.changed.wait_for(lambda: self.state.is_router)
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(INTERVAL_S)
             catalog = self.state.catalog
             if catalog is None:
                 continue
-            self._observe(catalog)
+            self._update_oldest_versions(catalog)
             if self.state.stopping or not self._is_first_router():
                 continue
             for store in fresh_stores(self.state, catalog):
                 if store.managed:
-                    await self._free(store)
+                    await self._free_unused_parts(store)
 
     def _is_first_router(self) -> bool:
         return bool(self.state.routers) and self.state.routers[0].id == self.state.settings.id
 
-    def _observe(self, catalog: Catalog) -> None:
+    def _update_oldest_versions(self, catalog: Catalog) -> None:
         """Note the oldest version that any engine runs, and since when."""
-        oldest: dict[str, int] = {}
+        oldest_version_by_model: dict[str, int] = {}
         for endpoint in self.state.fleet.by_id.values():
             engine = catalog.engine_of(endpoint.service)
             if engine is None:
                 continue
             for model in engine.models or tuple(endpoint.versions_by_model):
                 version = self.state.version_of(endpoint, model)
-                oldest[model] = min(version, oldest.get(model, version))
-        for model, version in oldest.items():
-            if self.oldest_by_model.get(model) != version:
-                self.oldest_by_model[model] = version
-                self.oldest_seen_by_model.setdefault(model, VersionHistory()).roll_back(version, monotonic())
+                oldest_version_by_model[model] = min(version, oldest_version_by_model.get(model, version))
+        for model, version in oldest_version_by_model.items():
+            if self.oldest_version_by_model.get(model) != version:
+                self.oldest_version_by_model[model] = version
+                self.oldest_history_by_model.setdefault(model, VersionHistory()).roll_back(
+                    version, monotonic()
+                )
 
-    async def _free(self, store: StoreSpec) -> None:
+    async def _free_unused_parts(self, store: StoreSpec) -> None:
         holding = self.state.holdings.by_address.get(store.address)
         if holding is None:
             return
-        keys = tuple(key for key in holding.tokens_by_key if self._useless(key))[:AT_ONCE]
+        keys = tuple(key for key in holding.tokens_by_key if self._is_unused(key))[:MAX_PARTS_PER_CALL]
         if not keys:
             return
-        done = await self.peers.free(store.address, keys, holding.incarnation)
-        if done:
+        freed = await self.peers.free(store.address, keys, holding.incarnation)
+        if freed:
             self.state.metrics.freed.inc(len(keys))
         self.state.log.line(
             LogEvent.FREED,
             store=store.id,
             parts=len(keys),
             life=holding.incarnation,
-            oldest=self.oldest_by_model,
-            outcome="freed" if done else "refused or silent",
+            oldest=self.oldest_version_by_model,
+            outcome="freed" if freed else "refused or silent",
         )
 
-    def _useless(self, key: PartKey) -> bool:
+    def _is_unused(self, key: PartKey) -> bool:
         scope = parse_scope(key[0])
         if scope is None:
             return False
-        oldest = self.oldest_by_model.get(scope.model)
-        if oldest is None or scope.version >= oldest:
+        oldest_version = self.oldest_version_by_model.get(scope.model)
+        if oldest_version is None or scope.version >= oldest_version:
             return False
-        unused_since = self.oldest_seen_by_model[scope.model].replaced_at(scope.version)
-        return unused_since is not None and monotonic() - unused_since > SETTLED_S
+        unused_since = self.oldest_history_by_model[scope.model].replaced_at(scope.version)
+        return unused_since is not None and monotonic() - unused_since > UNUSED_GRACE_S
