--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -1,4 +1,4 @@
-"""The one-process program: puts the parts of a box together, and stops without losing a request."""
+"""Starts a box with its servers and background tasks, and shuts it down gracefully."""
 
 import asyncio
 import random
@@ -37,23 +37,23 @@
 from stairquay.serving.watching import Watcher
 
 KEEP_ALIVE_S = 120.0
-"""Seconds for which a caller's idle connection stays open: longer than callers rest on one."""
+"""Idle timeout of callers' connections, longer than callers usually leave one idle."""
 
 LAME_DUCK_S = 2.7
-"""Seconds of serving on after the stop signal: the balancer asks each second and needs two misses.
-Callers keep using open connections, so that without an end to it the last requests would be cut."""
+"""Seconds for which new requests are served after the stop signal: the load balancer checks readiness once a
+second and stops sending after two failures."""
 
 RESTART_DELAY_S = 0.5
-"""Seconds before a part of the box that failed is started again."""
+"""Seconds before a failed background task is restarted."""
 
 CLOSE_TIMEOUT_S = 0.6
-"""Seconds left at the end for closing connections."""
+"""Seconds for closing connections at shutdown."""
 
 MAX_FIELD_BYTES = 32_768
-"""Longest header field and first line of a caller's request."""
+"""Maximum size of a header field and of the request line."""
 
 RELOAD_INTERVAL_S = 4.0
-"""Seconds between two readings of the settings: they may change without a signal."""
+"""Seconds between reloads of the settings, which may change without a signal."""
 
 LoadSettings = Callable[[], Result[BoxSettings, list[Mistake]]]
 OpenSurroundings = Callable[[], Surroundings]
@@ -61,9 +61,9 @@
 
 
 async def run_box(settings: BoxSettings, load: LoadSettings, open_surroundings: OpenSurroundings) -> None:
-    """Run a box until a stop signal, then let every request under way finish.
+    """Run a box until a stop signal, then finish the requests in progress.
 
-    `load` reads the settings anew, on a hangup signal and from time to time.
+    load: reads the settings, called on SIGHUP and periodically.
     """
     log = EventLog(settings.id)
     state = BoxState(settings, log)
@@ -103,7 +103,7 @@
     notices: NoticeSender,
     rng: random.Random,
 ) -> dict[str, TaskFunction]:
-    """Return by name what runs besides callers' requests, each until cancelled."""
+    """Return the background tasks by name; each runs until cancelled."""
     feeds = SharedFeeds(state, surroundings.feeds, links)
     crash_rows = CrashRowSync(state, surroundings.crashes)
     return {
@@ -124,7 +124,7 @@
 
 
 async def _reload_settings(state: BoxState, load: LoadSettings) -> None:
-    """Put changed settings in force; those that cannot be read change nothing."""
+    """Apply changed settings on SIGHUP and periodically; invalid settings are logged and ignored."""
     hangup = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, hangup.set)
     error_logged = False
@@ -151,7 +151,7 @@
 
 
 async def _wait_for_event(event: asyncio.Event, limit_s: float) -> bool:
-    """Wait for an event; tell whether it came within the limit."""
+    """Wait for an event. Return whether it was set within the limit."""
     try:
         async with asyncio.timeout(limit_s):
             await event.wait()
@@ -161,15 +161,19 @@
 
 
 async def run_with_restarts(state: BoxState, name: str, task_function: TaskFunction) -> None:
-    """Run a part of the box. One that fails is told, and started again: a box never ends by itself."""
+    """Run a background task, and restart it whenever it ends; failures are logged."""
     while True:
         try:
             await task_function()
         except asyncio.CancelledError:
             if being_cancelled():
                 raise
-            # Something inside was cancelled, not this part.
-            state.log.line(LogEvent.PART_FAILED, part=name, detail="cancelled from inside")
+            # Something that the task awaited was cancelled, not the task itself.
+            state.log.line(
+                LogEvent.PART_FAILED,
+                part=name,
+                detail="CancelledError without cancellation of the task",
+            )
         except Exception as error:
             frame = extract_tb(error.__traceback__)[-1]
             where = f"{frame.filename.rpartition('/')[2]}:{frame.lineno}"
@@ -224,7 +228,7 @@
 
 
 def _update_endpoint_metrics(state: BoxState) -> None:
-    """Set the metrics of evacuated data halls, cold endpoints, and what endpoints say of their use."""
+    """Set the gauges of evacuated data halls, cold endpoints and endpoints' feedback."""
     metrics, now = state.metrics, monotonic()
     for hall in state.evacuated | state.evacuation_ended_at_by_hall.keys():
         metrics.evacuated.labels(hall).set(hall in state.evacuated)
@@ -246,7 +250,7 @@
 
 
 async def _drain(state: BoxState) -> None:
-    """Turn unready, serve on until the balancer has seen it, then finish what is under way."""
+    """Report unready, serve until the load balancer has noticed, then finish the requests in progress."""
     state.stopping = True
     state.changed.notify_all()
     state.log.line(LogEvent.STOP, outcome="stopping", in_flight=state.in_flight)
--- a/stairquay/serving/front.py
+++ b/stairquay/serving/front.py
@@ -1,4 +1,4 @@
-"""The callers' side: finds the route and the workspace, reads the body, and answers."""
+"""Handles callers' HTTP requests: finds the route, checks the API key, reads the body and dispatches."""
 
 import asyncio
 from random import Random
@@ -17,23 +17,23 @@
 from stairquay.serving.state import BoxState
 
 BODY_TIMEOUT_S = 10.0
-"""Seconds that a caller may take to send a body."""
+"""Seconds within which a caller must send the body."""
 
 NOT_READY_RETRY_S = 0.05
-"""Seconds after which a caller should come back when this box's view is too old: its answer also ends the
-connection, so that the caller comes to another box, which can serve it at once."""
+"""Retry-After in seconds when this box's view is too old. The connection is closed as well, so that the retry
+reaches another box."""
 
 STOPPING_RETRY_S = 0.05
-"""Seconds after which a caller should come back when this box stops: another box takes it at once."""
+"""Retry-After in seconds when this box is stopping: another box can serve the retry."""
 
 MAX_REQUESTS_PER_DESCRIPTOR = 0.35
-"""Requests under way for each descriptor: one has a connection on both sides, and idle ones stay open."""
+"""Below 0.5, as each request has a connection on both sides and idle connections stay open."""
 
 BODY_MEMORY_SHARE = 0.25
-"""Share of the box's memory that callers' bodies may take; the process itself takes 46 MB."""
+"""Share of the box's memory that request bodies may take."""
 
 DEADLINE_MARGIN_S = 0.02
-"""Seconds by which a job's deadline lies before the caller's."""
+"""Seconds by which a job's deadline precedes the caller's, for sending the response."""
 
 
 class Frontend:
@@ -46,7 +46,7 @@
         self.random = random
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Serve one request."""
+        """Handle one request."""
         arrived_at = monotonic()
         self.state.in_flight += 1
         try:
@@ -106,7 +106,7 @@
     def _route_and_authenticate(
         self, catalog: Catalog, call: Call
     ) -> Result[tuple[Route, WorkspacePolicy | None], Refusal]:
-        """Find the route, and the workspace that the key belongs to."""
+        """Return the route, and the workspace of the API key if the route needs one."""
         keys_fresh = self.state.keys_fresh()
         route = catalog.route_for(call.host, call.path)
         if route is None:
@@ -123,7 +123,7 @@
         return Ok((route, workspace))
 
     def _is_overloaded(self, request: web.Request) -> bool:
-        """Tell whether one more request might cost the box its memory or its descriptors."""
+        """Return whether this request exceeds the limits on file descriptors or memory."""
         settings = self.state.settings
         if self.state.in_flight > settings.max_descriptors * MAX_REQUESTS_PER_DESCRIPTOR:
             return True
--- a/stairquay/serving/metrics.py
+++ b/stairquay/serving/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of the one-process program."""
+"""Prometheus metrics of a box."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
@@ -6,7 +6,7 @@
 
 
 class BoxMetrics:
-    """All metrics of a box. Workspaces and routes beyond a bound share one label."""
+    """All metrics of a box. Workspaces and routes beyond a maximum number share one label."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -114,5 +114,5 @@
         )
 
     def text(self) -> bytes:
-        """Return the metrics as Prometheus reads them."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/stairquay/serving/relay.py
+++ b/stairquay/serving/relay.py
@@ -41,7 +41,7 @@
         async for chunk in reply.chunks():
             body += chunk
             if len(body) > MAX_RESPONSE_BYTES:
-                raise BrokenAnswer(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
+                raise BrokenAnswer("the answer is too large")
     return bytes(body)
 
 
@@ -93,7 +93,7 @@
         end = buffer.rfind(EVENT_END)
         if end < 0:
             if len(buffer) > MAX_EVENT_BYTES:
-                raise BrokenAnswer(f"event exceeds {MAX_EVENT_BYTES} bytes")
+                raise BrokenAnswer("an event is too large")
             continue
         end += len(EVENT_END)
         yield buffer[:end]
--- a/stairquay/serving/settings.py
+++ b/stairquay/serving/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the one-process program, whatever file they came from."""
+"""Settings of a box, independent of the format of the settings file."""
 
 from dataclasses import dataclass, field
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True)
 class FreshnessSettings:
-    """How old the view of the configuration may be; seconds.
+    """Limits on the age of the configuration view, in seconds.
 
-    keyed_s: past it, requests that carry a key are refused, since the key may have been taken away.
-    ready_s: past it, the box tells the balancer that it is not ready.
+    keyed_s: above it, requests with an API key are refused, since the key may have been revoked.
+    ready_s: above it, the box reports unready to the load balancer.
     """
 
     keyed_s: float = 4.6
@@ -19,11 +19,10 @@
 
 @dataclass(frozen=True)
 class LeaseSettings:
-    """The lease under which orders are given; seconds.
+    """Settings of the lease whose holder issues orders, in seconds.
 
-    duration_s: how long a written lease lasts; its holder uses a share of it.
-    handover_s: how long a new holder waits after the old one's lease has run out, where endpoints do not
-    check who gives them orders.
+    duration_s: validity of a written lease, of which the holder uses a share.
+    handover_s: wait of a new holder after the old lease expires, as endpoints may not check an order's sender.
     """
 
     duration_s: float = 0.8
@@ -32,15 +31,14 @@
 
 @dataclass(frozen=True)
 class BoxSettings:
-    """One box. Addresses are `IP:port`; times are seconds.
+    """Settings of one box. Addresses are `IP:port`; `_s` fields are seconds.
 
-    front: for callers. readiness: for the balancer. metrics_port: for scraping, 0 for none.
-    apply_s: within this time of being written, a configuration is in force. evacuate_s: within this time an
-    evacuated data hall's endpoints get no new work. drain_s: within this time a
-    leaving endpoint gets no new work. versions_within_s: within this time of being named, a version of
-    weights is to be everywhere. stop_s: time from the stop signal until the process is killed.
-    peer_address: for other boxes of ours, empty where they cannot reach this one. cores, link_mbps: what the
-    box has.
+    front: listen address for callers. readiness: listen address for the load balancer's checks. metrics_port:
+    0 for none. peer_address: address for other boxes, empty if they cannot reach this one. stop_s: time from
+    the stop signal until the process is killed. memory_mb: 0 for no limit.
+
+    Deadlines: apply_s for applying a written configuration; evacuate_s and drain_s for sending no new work to
+    an evacuated data hall and to a leaving endpoint; versions_within_s for rolling out a version of weights.
     """
 
     id: str
--- a/stairquay/serving/upkeep.py
+++ b/stairquay/serving/upkeep.py
@@ -1,7 +1,7 @@
-"""Frees what nobody can use any more at store boxes that free nothing by themselves.
+"""Frees cached context of outdated versions at store boxes that don't evict it themselves.
 
-Context of an older version of weights is useless once every engine runs a newer one: no engine takes a
-request for it, so that no fetch of it can begin, and those under way are thrown away after a bounded time.
+Context of a version is unused once all engines run newer ones: no new fetch of it can start, and fetches in
+progress time out.
 """
 
 import asyncio
@@ -18,18 +18,18 @@
 from stairquay.serving.state import BoxState
 
 INTERVAL_S = 1.0
-"""Seconds between two looks: room is needed again soon after a version is everywhere."""
+"""Seconds between two collections."""
 
 UNUSED_GRACE_S = FETCH_TIMEOUT_S + 2.0
-"""Seconds for which all engines must have run a newer version: every fetch begun before is over, and boxes
-that lagged behind know."""
+"""Seconds for which a version must be unused before its parts are freed: fetches in progress have ended, and
+boxes with an older view have caught up."""
 
 MAX_PARTS_PER_CALL = 400
-"""Most parts freed with one call: about 20 kB."""
+"""Maximum number of parts freed with one call, which bounds the size of the request."""
 
 
 class StoreGarbageCollector:
-    """Frees outdated parts, at one box of ours only."""
+    """Frees outdated parts at store boxes. Only the first router does so."""
 
     def __init__(self, state: BoxState, peers: Peers) -> None:
         self.state = state
@@ -38,9 +38,9 @@
         self.oldest_history_by_model: dict[str, VersionHistory] = {}
 
     async def run(self) -> None:
-        """Look from time to time, until cancelled."""
+        """Free unused parts periodically until cancelled."""
         while True:
-            # Only routers see what store boxes keep.
+            # Only routers know the content of store boxes.
             await self.state.changed.wait_for(lambda: self.state.is_router)
             await asyncio.sleep(INTERVAL_S)
             catalog = self.state.catalog
@@ -57,7 +57,7 @@
         return bool(self.state.routers) and self.state.routers[0].id == self.state.settings.id
 
     def _update_oldest_versions(self, catalog: Catalog) -> None:
-        """Note the oldest version that any engine runs, and since when."""
+        """Record the oldest version that any engine runs, by model, and since when."""
         oldest_version_by_model: dict[str, int] = {}
         for endpoint in self.state.fleet.by_id.values():
             engine = catalog.engine_of(endpoint.service)
