--- a/stairquay/serving/settings.py
+++ b/stairquay/serving/settings.py
@@ -22,7 +22,7 @@
     """Settings of the lease whose holder issues orders, in seconds.
 
     duration_s: validity of a written lease, of which the holder uses a share.
-    handover_s: wait of a new holder after the old lease expires, as endpoints may not check an order's sender.
+    handover_s: wait of a new holder after a lease expires, as endpoints may not check who sends orders.
     """
 
     duration_s: float = 0.8
