--- a/stairquay/serving/crashes.py
+++ b/stairquay/serving/crashes.py
@@ -26,18 +26,24 @@
         self.crashes_by_incarnation: dict[str, dict[str, Crash]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def connection_broken(self, job: Job, begun: StartedAttempt, events: int) -> None:
+    def connection_broken(self, job: Job, started_attempt: StartedAttempt, events: int) -> None:
         """Probe the endpoint of a broken connection. events: events of the answer received before."""
-        endpoint, now = begun.choice.endpoint, monotonic()
-        incarnation = f"{endpoint.id}/{begun.endpoint_state.born}"
+        endpoint, now = started_attempt.choice.endpoint, monotonic()
+        incarnation = f"{endpoint.id}/{started_attempt.endpoint_state.born}"
         suspected = self.crashes_by_incarnation.get(incarnation)
         if suspected is None:
             suspected = self.crashes_by_incarnation[incarnation] = {}
-            task = asyncio.create_task(self._probe(endpoint, incarnation, begun.endpoint_state.born))
+            task = asyncio.create_task(
+                self._probe(endpoint, incarnation, started_attempt.endpoint_state.born)
+            )
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         suspected[job.digest] = Crash(
-            job.digest, incarnation, now, now - begun.sent_at, _events_received(job, begun, events)
+            job.digest,
+            incarnation,
+            now,
+            now - started_attempt.sent_at,
+            _events_received(job, started_attempt, events),
         )
 
     async def _probe(self, endpoint: Endpoint, incarnation: str, born: int) -> None:
@@ -64,9 +70,9 @@
         return endpoint_id in self.state.fleet.by_id and known is not None and known.born == born
 
 
-def _events_received(job: Job, begun: StartedAttempt, events: int) -> int | None:
+def _events_received(job: Job, started_attempt: StartedAttempt, events: int) -> int | None:
     """Return the events received, None if an engine had not begun its answer.
 
     A plain service answers only when done, so its missing answer does not show that it had not begun.
     """
-    return None if job.service.engine is not None and not begun.head_received else events
+    return None if job.service.engine is not None and not started_attempt.head_received else events
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -153,52 +153,57 @@
         """Make one attempt. Return the caller's response, or None if it failed (`progress.last`)."""
         attempt = Attempt(job.call.id, choice.endpoint.id)
         endpoint_state = self.state.endpoint_state(choice.endpoint)
-        begun = StartedAttempt(choice, attempt, endpoint_state, monotonic())
+        started_attempt = StartedAttempt(choice, attempt, endpoint_state, monotonic())
         # The local router has already counted the prompts that it placed.
         counted_by_local_router = choice.router == self.state.settings.id
         endpoint_state.in_flight += not counted_by_local_router
         if choice.placement is not None and not counted_by_local_router:
             endpoint_state.waiting_tokens_by_request[job.call.id] = choice.placement.read
-            endpoint_state.on_sent(choice.placement.read + choice.placement.fetched, begun.sent_at)
-        record_probe(endpoint_state, begun.sent_at)
+            endpoint_state.on_sent(choice.placement.read + choice.placement.fetched, started_attempt.sent_at)
+        record_probe(endpoint_state, started_attempt.sent_at)
         record_sent(self.state, job, choice, progress)
         try:
-            sent = await self._send(job, begun, progress)
-            self._apply_feedback(begun, sent)
+            sent = await self._send(job, started_attempt, progress)
+            self._apply_feedback(started_attempt, sent)
             if isinstance(sent, Err):
-                self._on_failed(job, begun, progress, sent.err_value)
+                self._on_failed(job, started_attempt, progress, sent.err_value)
                 return None
-            begun.head_received = True
-            return await self._relay(job, begun, progress, sent.ok_value, request)
+            started_attempt.head_received = True
+            return await self._relay(job, started_attempt, progress, sent.ok_value, request)
         finally:
             endpoint_state.in_flight -= not counted_by_local_router
             endpoint_state.waiting_tokens_by_request.pop(job.call.id, None)
 
-    def _apply_feedback(self, begun: StartedAttempt, sent: Result[Reply, SendFailure]) -> None:
+    def _apply_feedback(self, started_attempt: StartedAttempt, sent: Result[Reply, SendFailure]) -> None:
         """Apply the endpoint's feedback in the head of a reply."""
         said = sent.err_value.said if isinstance(sent, Err) else sent.ok_value.said
         if said is not None:
             apply_feedback(
-                self.state, begun.choice.endpoint, begun.endpoint_state, said, begun.sent_at, monotonic()
+                self.state,
+                started_attempt.choice.endpoint,
+                started_attempt.endpoint_state,
+                said,
+                started_attempt.sent_at,
+                monotonic(),
             )
 
     async def _send(
-        self, job: Job, begun: StartedAttempt, progress: JobProgress
+        self, job: Job, started_attempt: StartedAttempt, progress: JobProgress
     ) -> Result[Reply, SendFailure]:
         left_s = job.deadline - monotonic()
         after = progress.stream.last_event_id or job.call.resume_after
-        dispatch = self._dispatch(job, begun.choice, left_s, after)
+        dispatch = self._dispatch(job, started_attempt.choice, left_s, after)
 
         def guard() -> bool:
             if not self._keys_fresh(job) or job.deadline <= monotonic() or self._quarantined_s(job) > 0:
                 return False
-            if not takes_work(self.state, begun.choice.endpoint) or is_backing_off(
-                begun.endpoint_state, monotonic()
+            if not takes_work(self.state, started_attempt.choice.endpoint) or is_backing_off(
+                started_attempt.endpoint_state, monotonic()
             ):
                 return False
-            return not self._version_too_old(job, begun.choice)
+            return not self._version_too_old(job, started_attempt.choice)
 
-        return await self.endpoints.send(job.call, job.body, dispatch, begun.attempt, guard, left_s)
+        return await self.endpoints.send(job.call, job.body, dispatch, started_attempt.attempt, guard, left_s)
 
     def _dispatch(self, job: Job, choice: Choice, left_s: float, resume_after: str | None) -> Dispatch:
         placement = choice.placement
@@ -217,7 +222,12 @@
         )
 
     async def _relay(
-        self, job: Job, begun: StartedAttempt, progress: JobProgress, reply: Reply, request: web.Request
+        self,
+        job: Job,
+        started_attempt: StartedAttempt,
+        progress: JobProgress,
+        reply: Reply,
+        request: web.Request,
     ) -> web.StreamResponse | None:
         """Relay a reply. Return None if the attempt failed and the job may be retried."""
         try:
@@ -227,7 +237,7 @@
                     reply,
                     progress.stream,
                     job.deadline,
-                    on_first_event=lambda: self._on_first_output(job, begun),
+                    on_first_event=lambda: self._on_first_output(job, started_attempt),
                     should_close=self.state.should_close_connections,
                 )
                 response = progress.stream.response
@@ -238,84 +248,94 @@
             else:
                 body = await read_body(reply, job.deadline)
                 if reply.status >= SERVER_ERROR and self._handle_error_reply(
-                    job, begun, progress, reply, body
+                    job, started_attempt, progress, reply, body
                 ):
                     return None
-                self._on_first_output(job, begun)
+                self._on_first_output(job, started_attempt)
                 response = buffered_response(reply, body)
         except (BrokenAnswer, TimeoutError) as error:
             kind = ErrorKind.DEADLINE if isinstance(error, TimeoutError) else ErrorKind.ENDPOINT_FAILED
-            begun.attempt.lose()
+            started_attempt.attempt.lose()
             fault = kind != ErrorKind.DEADLINE
             detail = f"the answer broke off: {error}"
-            failure = SendFailure(kind, begun.attempt.ran, detail, reply.status, fault=fault, broke=fault)
-            self._on_failed(job, begun, progress, failure)
+            failure = SendFailure(
+                kind, started_attempt.attempt.ran, detail, reply.status, fault=fault, broke=fault
+            )
+            self._on_failed(job, started_attempt, progress, failure)
             return None
         finally:
             reply.close()
-        begun.attempt.finish()
-        self._on_succeeded(job, begun, reply, progress)
+        started_attempt.attempt.finish()
+        self._on_succeeded(job, started_attempt, reply, progress)
         return response
 
     def _handle_error_reply(
-        self, job: Job, begun: StartedAttempt, progress: JobProgress, reply: Reply, body: bytes
+        self, job: Job, started_attempt: StartedAttempt, progress: JobProgress, reply: Reply, body: bytes
     ) -> bool:
         """Keep an endpoint's error reply. Return whether the job is retried instead of relaying it."""
         progress.error_reply = (reply, body)
         should_retry = job.route.retryable and progress.runs + 1 < job.route.max_attempts
         if not should_retry:
             return False
-        begun.attempt.lose()
+        started_attempt.attempt.lose()
         failure = SendFailure(
-            ErrorKind.ENDPOINT_FAILED, begun.attempt.ran, f"status {reply.status}", reply.status, fault=False
+            ErrorKind.ENDPOINT_FAILED,
+            started_attempt.attempt.ran,
+            f"status {reply.status}",
+            reply.status,
+            fault=False,
         )
-        self._on_failed(job, begun, progress, failure)
+        self._on_failed(job, started_attempt, progress, failure)
         return True
 
-    def _on_first_output(self, job: Job, begun: StartedAttempt) -> None:
-        if begun.first_byte_at is not None:
+    def _on_first_output(self, job: Job, started_attempt: StartedAttempt) -> None:
+        if started_attempt.first_byte_at is not None:
             return
-        begun.first_byte_at = monotonic()
-        begun.endpoint_state.waiting_tokens_by_request.pop(job.call.id, None)
-        record_first_byte(self.state, job, begun.first_byte_at)
-        placement = begun.choice.placement
+        started_attempt.first_byte_at = monotonic()
+        started_attempt.endpoint_state.waiting_tokens_by_request.pop(job.call.id, None)
+        record_first_byte(self.state, job, started_attempt.first_byte_at)
+        placement = started_attempt.choice.placement
         if placement is None or job.call.prompt is None:
             return
         record_prompt_tokens(self.state, job, placement)
-        self.chooser.prefill_finished(begun.choice)
+        self.chooser.prefill_finished(started_attempt.choice)
 
     def _on_failed(
-        self, job: Job, begun: StartedAttempt, progress: JobProgress, failure: SendFailure
+        self, job: Job, started_attempt: StartedAttempt, progress: JobProgress, failure: SendFailure
     ) -> None:
         """Record a failed attempt."""
         now = monotonic()
         progress.last = failure
         progress.ran = combine_execution_status(progress.ran, failure.ran)
-        progress.tried.add(begun.choice.endpoint.id)
+        progress.tried.add(started_attempt.choice.endpoint.id)
         if failure.ran == ExecutionStatus.NOT_RUN:
             progress.refused += 1
-            begun.endpoint_state.refused_until = now + BUSY_BACKOFF_S
+            started_attempt.endpoint_state.refused_until = now + BUSY_BACKOFF_S
         else:
             progress.runs += 1
         if _counts_against_endpoint(failure):
-            begun.endpoint_state.on_outcome(True, now)
+            started_attempt.endpoint_state.on_outcome(True, now)
             if _was_unreachable(failure):
-                begun.endpoint_state.unreachable_at = now
+                started_attempt.endpoint_state.unreachable_at = now
         if failure.broke:
-            self.crashes.connection_broken(job, begun, progress.stream.events)
-        record_attempt_failed(self.state, job, begun, failure, now)
+            self.crashes.connection_broken(job, started_attempt, progress.stream.events)
+        record_attempt_failed(self.state, job, started_attempt, failure, now)
 
-    def _on_succeeded(self, job: Job, begun: StartedAttempt, reply: Reply, progress: JobProgress) -> None:
+    def _on_succeeded(
+        self, job: Job, started_attempt: StartedAttempt, reply: Reply, progress: JobProgress
+    ) -> None:
         now = monotonic()
         if reply.status < SERVER_ERROR:
             self.state.quarantine.record_served(job.digest)
-        begun.endpoint_state.on_outcome(False, now)
-        begun.endpoint_state.response_time_s += RESPONSE_TIME_WEIGHT * (
-            (now - begun.sent_at) - begun.endpoint_state.response_time_s
+        started_attempt.endpoint_state.on_outcome(False, now)
+        started_attempt.endpoint_state.response_time_s += RESPONSE_TIME_WEIGHT * (
+            (now - started_attempt.sent_at) - started_attempt.endpoint_state.response_time_s
         )
         if reply.version is not None:
-            begun.endpoint_state.version = max(begun.endpoint_state.version, reply.version)
-        record_answered(self.state, job, begun, reply, progress, now)
+            started_attempt.endpoint_state.version = max(
+                started_attempt.endpoint_state.version, reply.version
+            )
+        record_answered(self.state, job, started_attempt, reply, progress, now)
 
     def _give_up(
         self, job: Job, progress: JobProgress, refusal: Refusal, request: web.Request
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -87,20 +87,20 @@
 
 
 def record_attempt_failed(
-    state: BoxState, job: Job, begun: StartedAttempt, failure: SendFailure, now: float
+    state: BoxState, job: Job, started_attempt: StartedAttempt, failure: SendFailure, now: float
 ) -> None:
     """Log and count a failed attempt."""
     state.metrics.attempts.labels(job.service.id, failure.kind.value).inc()
     state.log.line(
         LogEvent.ATTEMPT_FAILED,
         job.call.id,
-        endpoint=begun.choice.endpoint.id,
+        endpoint=started_attempt.choice.endpoint.id,
         outcome=failure.kind.value,
         ran=failure.ran.value,
         detail=failure.detail,
         status=failure.status,
-        took_s=now - begun.sent_at,
-        failing=begun.endpoint_state.current_failure_rate(now),
+        took_s=now - started_attempt.sent_at,
+        failing=started_attempt.endpoint_state.current_failure_rate(now),
         broke=failure.broke,
         digest=job.digest,
         **feedback_fields(failure.said),
@@ -122,7 +122,12 @@
 
 
 def record_answered(
-    state: BoxState, job: Job, begun: StartedAttempt, reply: Reply, progress: JobProgress, now: float
+    state: BoxState,
+    job: Job,
+    started_attempt: StartedAttempt,
+    reply: Reply,
+    progress: JobProgress,
+    now: float,
 ) -> None:
     """Log and count a job whose response was relayed completely."""
     metrics = state.metrics
@@ -136,10 +141,12 @@
         outcome="answered",
         ran=ExecutionStatus.RAN.value,
         status=reply.status,
-        endpoint=begun.choice.endpoint.id,
+        endpoint=started_attempt.choice.endpoint.id,
         version=reply.version,
         events=progress.stream.events,
-        first_s=None if begun.first_byte_at is None else begun.first_byte_at - job.arrived_at,
+        first_s=None
+        if started_attempt.first_byte_at is None
+        else started_attempt.first_byte_at - job.arrived_at,
         took_s=now - job.arrived_at,
         **feedback_fields(reply.said),
     )
