--- a/stairquay/serving/app.py
+++ b/stairquay/serving/app.py
@@ -1,4 +1,4 @@
-"""The one-process program: puts the parts of a box together, and stops without losing a request."""
+"""Starts a box with its servers and background tasks, and shuts it down gracefully."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 from stairquay.serving.endpoint_chooser import Chooser
 from stairquay.serving.event_log import EventLog, LogEvent
 from stairquay.serving.following import follow_endpoints, follow_operators
-from stairquay.serving.front import Front
+from stairquay.serving.front import Frontend
 from stairquay.serving.links import RouterClients
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.notices import NoticeSender
@@ -33,61 +33,61 @@
 from stairquay.serving.sharing import SharedFeeds
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import backoffs_by_id, limit_of
-from stairquay.serving.upkeep import Upkeep
+from stairquay.serving.upkeep import StoreGarbageCollector
 from stairquay.serving.watching import EndpointWatcher
 
 KEEP_ALIVE_S = 120.0
-"""Seconds for which a caller's idle connection stays open: longer than callers rest on one."""
+"""Idle timeout of callers' connections, longer than callers usually leave one idle."""
 
 LAME_DUCK_S = 2.7
-"""Seconds of serving on after the stop signal: the balancer asks each second and needs two misses.
-Callers keep using open connections, so that without an end to it the last requests would be cut."""
+"""Seconds for which new requests are served after the stop signal: the load balancer checks readiness once a
+second and stops sending after two failures."""
 
-PART_AGAIN_S = 0.5
-"""Seconds before a part of the box that failed is started again."""
+RESTART_DELAY_S = 0.5
+"""Seconds before a failed background task is restarted."""
 
-CLOSE_S = 0.6
-"""Seconds left at the end for closing connections."""
+CLOSE_TIMEOUT_S = 0.6
+"""Seconds for closing connections at shutdown."""
 
 MAX_FIELD_BYTES = 32_768
-"""Longest header field and first line of a caller's request."""
+"""Maximum size of a header field and of the request line."""
 
-REREAD_S = 4.0
-"""Seconds between two readings of the settings: they may change without a signal."""
+RELOAD_INTERVAL_S = 4.0
+"""Seconds between reloads of the settings, which may change without a signal."""
 
 LoadSettings = Callable[[], Result[BoxSettings, list[Mistake]]]
 OpenSurroundings = Callable[[], Ports]
-Work = Callable[[], Coroutine[Any, Any, None]]
+TaskFunction = Callable[[], Coroutine[Any, Any, None]]
 
 
 async def run_box(settings: BoxSettings, load: LoadSettings, open_surroundings: OpenSurroundings) -> None:
-    """Run a box until a stop signal, then let every request under way finish.
+    """Run a box until a stop signal, then finish the requests in progress.
 
-    `load` reads the settings anew, on a hangup signal and from time to time.
+    load: reads the settings, called on SIGHUP and periodically.
     """
     log = EventLog(settings.id)
     state = BoxState(settings, log)
     state.boxes = (settings.id,)
     surroundings = open_surroundings()
-    chance = random.Random()
+    rng = random.Random()
     links = RouterClients(state)
-    router = LocalRouter(state, chance)
+    router = LocalRouter(state, rng)
     notices = NoticeSender(state, links, router)
-    chooser = Chooser(state, links, router, notices, chance)
-    crashes = CrashDetector(state, surroundings.peers)
-    dispatcher = Dispatcher(state, surroundings.endpoints, chooser, crashes)
-    front = Front(state, surroundings.callers, dispatcher, chance)
+    chooser = Chooser(state, links, router, notices, rng)
+    crash_detector = CrashDetector(state, surroundings.peers)
+    dispatcher = Dispatcher(state, surroundings.endpoints, chooser, crash_detector)
+    front = Frontend(state, surroundings.callers, dispatcher, rng)
     tasks = BackgroundTasks()
-    parts_by_name = box_parts(state, surroundings, links, router, notices, chance)
-    parts_by_name["reload"] = partial(_reload, state, load)
-    for name, work in parts_by_name.items():
-        tasks.start(kept_running(state, name, work))
+    tasks_by_name = background_tasks(state, surroundings, links, router, notices, rng)
+    tasks_by_name["reload"] = partial(_reload_settings, state, load)
+    for name, task_function in tasks_by_name.items():
+        tasks.start(run_with_restarts(state, name, task_function))
     log.line(LogEvent.START, front=settings.front, data_hall=settings.data_hall)
-    sites = await _listen_all(state, front, surroundings.ready_path)
+    runners = await _listen_all(state, front, surroundings.ready_path)
     await wait_for_stop(tasks)
-    await _finish(state)
-    for site in sites:
-        await site.cleanup()
+    await _drain(state)
+    for runner in runners:
+        await runner.cleanup()
     log.line(LogEvent.STOP, in_flight=state.in_flight)
     log.flush()
     await tasks.cancel()
@@ -95,15 +95,15 @@
     await surroundings.close()
 
 
-def box_parts(
+def background_tasks(
     state: BoxState,
     surroundings: Ports,
     links: RouterClients,
     router: LocalRouter,
     notices: NoticeSender,
-    chance: random.Random,
-) -> dict[str, Work]:
-    """Return by name what runs besides callers' requests, each until cancelled."""
+    rng: random.Random,
+) -> dict[str, TaskFunction]:
+    """Return the background tasks by name; each runs until cancelled."""
     feeds = SharedFeeds(state, surroundings.feeds, links)
     crash_rows = CrashRowSync(state, surroundings.crashes)
     return {
@@ -116,38 +116,42 @@
         "endpoints": partial(follow_endpoints, state, feeds),
         "watching": EndpointWatcher(state, surroundings.peers).run,
         "orders": RolloutController(state, surroundings.own, surroundings.peers).run,
-        "boxes": BoxRegistry(state, surroundings.own, chance).run,
-        "upkeep": Upkeep(state, surroundings.peers).run,
+        "boxes": BoxRegistry(state, surroundings.own, rng).run,
+        "upkeep": StoreGarbageCollector(state, surroundings.peers).run,
         "crashes told": crash_rows.publish,
         "crashes followed": crash_rows.follow,
     }
 
 
-async def _reload(state: BoxState, load: LoadSettings) -> None:
-    """Put changed settings in force; those that cannot be read change nothing."""
+async def _reload_settings(state: BoxState, load: LoadSettings) -> None:
+    """Apply changed settings on SIGHUP and periodically; invalid settings are logged and ignored."""
     hangup = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, hangup.set)
-    complained = False
+    error_logged = False
     while True:
-        asked = await _happens(hangup, REREAD_S)
+        hangup_received = await _wait_for_event(hangup, RELOAD_INTERVAL_S)
         hangup.clear()
         loaded = load()
         if isinstance(loaded, Err):
-            if asked or not complained:
+            if hangup_received or not error_logged:
                 mistakes = [str(mistake) for mistake in loaded.err_value]
                 state.log.line(LogEvent.RELOAD, outcome="kept", mistakes=mistakes)
-            complained = True
+            error_logged = True
             continue
-        complained = False
+        error_logged = False
         changed = loaded.ok_value != state.settings
         if changed:
             state.use_settings(loaded.ok_value)
-        if changed or asked:
-            state.log.line(LogEvent.RELOAD, outcome="in_force" if changed else "unchanged", asked=asked)
+        if changed or hangup_received:
+            state.log.line(
+                LogEvent.RELOAD,
+                outcome="in_force" if changed else "unchanged",
+                asked=hangup_received,
+            )
 
 
-async def _happens(event: asyncio.Event, limit_s: float) -> bool:
-    """Wait for an event; tell whether it came within the limit."""
+async def _wait_for_event(event: asyncio.Event, limit_s: float) -> bool:
+    """Wait for an event. Return whether it was set within the limit."""
     try:
         async with asyncio.timeout(limit_s):
             await event.wait()
@@ -156,31 +160,35 @@
     return True
 
 
-async def kept_running(state: BoxState, name: str, work: Work) -> None:
-    """Run a part of the box. One that fails is told, and started again: a box never ends by itself."""
+async def run_with_restarts(state: BoxState, name: str, task_function: TaskFunction) -> None:
+    """Run a background task, and restart it whenever it ends; failures are logged."""
     while True:
         try:
-            await work()
+            await task_function()
         except asyncio.CancelledError:
             if being_cancelled():
                 raise
-            # Something inside was cancelled, not this part.
-            state.log.line(LogEvent.PART_FAILED, part=name, detail="cancelled from inside")
+            # Something that the task awaited was cancelled, not the task itself.
+            state.log.line(
+                LogEvent.PART_FAILED,
+                part=name,
+                detail="CancelledError without cancellation of the task",
+            )
         except Exception as error:
             frame = extract_tb(error.__traceback__)[-1]
             where = f"{frame.filename.rpartition('/')[2]}:{frame.lineno}"
             state.log.line(LogEvent.PART_FAILED, part=name, detail=repr(error), where=where)
-        await asyncio.sleep(PART_AGAIN_S)
+        await asyncio.sleep(RESTART_DELAY_S)
 
 
-async def _listen_all(state: BoxState, front: Front, ready_path: str) -> list[web.AppRunner]:
-    sites = [await _listen_front(state.settings, front), await _listen_readiness(state, ready_path)]
+async def _listen_all(state: BoxState, front: Frontend, ready_path: str) -> list[web.AppRunner]:
+    runners = [await _listen_front(state.settings, front), await _listen_readiness(state, ready_path)]
     if state.settings.metrics_port:
-        sites.append(await _listen_metrics(state))
-    return sites
+        runners.append(await _listen_metrics(state))
+    return runners
 
 
-async def _listen_front(settings: BoxSettings, front: Front) -> web.AppRunner:
+async def _listen_front(settings: BoxSettings, front: Frontend) -> web.AppRunner:
     app = web.Application(client_max_size=0)
     app.router.add_route("*", "/{path:.*}", front.handle)
     return await listen(
@@ -189,7 +197,7 @@
         handler_cancellation=True,
         auto_decompress=False,
         keepalive_timeout=KEEP_ALIVE_S,
-        shutdown_timeout=CLOSE_S,
+        shutdown_timeout=CLOSE_TIMEOUT_S,
         max_field_size=MAX_FIELD_BYTES,
         max_line_size=MAX_FIELD_BYTES,
     )
@@ -210,8 +218,8 @@
         state.metrics.quarantined.set(len(state.quarantine.quarantined_by_digest))
         state.metrics.view_age.set(state.view_age())
         state.metrics.replaced.set(state.oldest_replaced_s())
-        state.metrics.left_out.set(state.log.dropped_total)
-        _measure_halls(state)
+        state.metrics.dropped_log_lines.set(state.log.dropped_total)
+        _update_endpoint_metrics(state)
         return web.Response(body=state.metrics.text(), headers={"Content-Type": "text/plain; version=0.0.4"})
 
     app = web.Application()
@@ -219,35 +227,35 @@
     return await listen(app, f"{state.settings.ip}:{state.settings.metrics_port}")
 
 
-def _measure_halls(state: BoxState) -> None:
-    """Set the metrics of evacuated data halls, cold endpoints, and what endpoints say of their use."""
+def _update_endpoint_metrics(state: BoxState) -> None:
+    """Set the gauges of evacuated data halls, cold endpoints and endpoints' feedback."""
     metrics, now = state.metrics, monotonic()
     for hall in state.evacuated | state.evacuation_ended_at_by_hall.keys():
         metrics.evacuated.labels(hall).set(hall in state.evacuated)
     metrics.cold.clear()
     metrics.limits.clear()
     metrics.leaving.clear()
-    metrics.rests.clear()
+    metrics.backoffs.clear()
     for endpoint in state.fleet.live():
-        left_s = cold_for_s(state, endpoint, now)
-        if left_s > 0:
-            metrics.cold.labels(endpoint.id).set(left_s)
-        per_s = limit_of(state.endpoint_state(endpoint))
-        if per_s < UNLIMITED:
-            metrics.limits.labels(endpoint.id).set(per_s)
+        remaining_s = cold_for_s(state, endpoint, now)
+        if remaining_s > 0:
+            metrics.cold.labels(endpoint.id).set(remaining_s)
+        limit_per_s = limit_of(state.endpoint_state(endpoint))
+        if limit_per_s < UNLIMITED:
+            metrics.limits.labels(endpoint.id).set(limit_per_s)
         if endpoint.leaving:
             metrics.leaving.labels(endpoint.id).set(1)
-    for name, rest_s in backoffs_by_id(state, now).items():
-        metrics.rests.labels(name).set(rest_s)
+    for name, backoff_s in backoffs_by_id(state, now).items():
+        metrics.backoffs.labels(name).set(backoff_s)
 
 
-async def _finish(state: BoxState) -> None:
-    """Turn unready, serve on until the balancer has seen it, then finish what is under way."""
+async def _drain(state: BoxState) -> None:
+    """Report unready, serve until the load balancer has noticed, then finish the requests in progress."""
     state.stopping = True
     state.changed.notify_all()
     state.log.line(LogEvent.STOP, outcome="stopping", in_flight=state.in_flight)
     await asyncio.sleep(LAME_DUCK_S)
     state.refusing = True
     state.log.line(LogEvent.STOP, outcome="refusing", in_flight=state.in_flight)
-    left_s = max(0.0, state.settings.stop_s - LAME_DUCK_S - 2 * CLOSE_S)
-    await wait_until(lambda: state.in_flight == 0, left_s)
+    remaining_s = max(0.0, state.settings.stop_s - LAME_DUCK_S - 2 * CLOSE_TIMEOUT_S)
+    await wait_until(lambda: state.in_flight == 0, remaining_s)
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -16,20 +16,20 @@
 from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.endpoint_chooser import Chooser
 from stairquay.serving.evacuation import takes_work
-from stairquay.serving.jobs import Begun, Job, Progress
+from stairquay.serving.jobs import Job, JobProgress, StartedAttempt
 from stairquay.serving.messages import Outcome
 from stairquay.serving.ports import IncompleteResponseError, Reply, RequestSender, SendFailure
 from stairquay.serving.records import (
     record_answered,
-    record_failed,
-    record_first,
-    record_given_up,
-    record_not_repeated,
-    record_prompt,
+    record_attempt_failed,
+    record_first_byte,
+    record_job_failed,
+    record_prompt_tokens,
+    record_retry_denied,
     record_sent,
 )
 from stairquay.serving.refusals import RETRY_AFTER_S, all_throttled, overloaded, reconcile_status
-from stairquay.serving.relay import cut, read_whole, relay_stream, whole_response
+from stairquay.serving.relay import abort_connection, buffered_response, read_body, relay_stream
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import apply_feedback, is_backing_off, record_probe
 
@@ -67,7 +67,7 @@
     async def run(self, job: Job, request: web.Request) -> Result[web.StreamResponse, Refusal]:
         """Run a job to its end. Return the response, already sent if it is a stream, or a refusal."""
         self.state.retry_budget(job.service.id).on_request(monotonic())
-        progress = Progress()
+        progress = JobProgress()
         while True:
             refusal = self._refusal_before_attempt(job, progress)
             if refusal is not None:
@@ -97,7 +97,7 @@
             if refusal is not None:
                 return self._give_up(job, progress, self._with_retry_after(job, refusal), request)
 
-    def _refusal_before_attempt(self, job: Job, progress: Progress) -> Refusal | None:
+    def _refusal_before_attempt(self, job: Job, progress: JobProgress) -> Refusal | None:
         """Return the refusal if nothing may be sent now, else None."""
         if job.deadline - monotonic() < MIN_REMAINING_S:
             return Refusal(ErrorKind.DEADLINE, progress.ran)
@@ -128,7 +128,7 @@
             return False
         return self.state.version_too_old(prompt.model, choice.version or 0, choice.placement.first_token_s)
 
-    def _refusal_after_failure(self, job: Job, progress: Progress) -> Refusal | None:
+    def _refusal_after_failure(self, job: Job, progress: JobProgress) -> Refusal | None:
         """Return the refusal if a failed job must not be retried, else None."""
         failure = progress.last
         assert failure is not None
@@ -142,57 +142,68 @@
         elif progress.refused >= MAX_REFUSED:
             return refusal
         if not self.state.take_retry(job.service.id):
-            record_not_repeated(self.state, job)
+            record_retry_denied(self.state, job)
             return refusal
-        self.state.metrics.repeats.labels(job.service.id).inc()
+        self.state.metrics.retries.labels(job.service.id).inc()
         return None
 
     async def _attempt(
-        self, job: Job, choice: Choice, progress: Progress, request: web.Request
+        self, job: Job, choice: Choice, progress: JobProgress, request: web.Request
     ) -> web.StreamResponse | None:
         """Make one attempt. Return the caller's response, or None if it failed (`progress.last`)."""
         attempt = Attempt(job.call.id, choice.endpoint.id)
         endpoint_state = self.state.endpoint_state(choice.endpoint)
-        begun = Begun(choice, attempt, endpoint_state, monotonic())
+        started_attempt = StartedAttempt(choice, attempt, endpoint_state, monotonic())
         # The local router has already counted the prompts that it placed.
         counted_by_local_router = choice.router == self.state.settings.id
         endpoint_state.in_flight += not counted_by_local_router
         if choice.placement is not None and not counted_by_local_router:
             endpoint_state.waiting_tokens_by_request[job.call.id] = choice.placement.read
-            endpoint_state.on_sent(choice.placement.read + choice.placement.fetched, begun.sent_at)
-        record_probe(endpoint_state, begun.sent_at)
+            endpoint_state.on_sent(choice.placement.read + choice.placement.fetched, started_attempt.sent_at)
+        record_probe(endpoint_state, started_attempt.sent_at)
         record_sent(self.state, job, choice, progress)
         try:
-            sent = await self._send(job, begun, progress)
-            self._apply_feedback(begun, sent)
+            sent = await self._send(job, started_attempt, progress)
+            self._apply_feedback(started_attempt, sent)
             if isinstance(sent, Err):
-                self._on_failed(job, begun, progress, sent.err_value)
+                self._on_failed(job, started_attempt, progress, sent.err_value)
                 return None
-            begun.replied = True
-            return await self._relay(job, begun, progress, sent.ok_value, request)
+            started_attempt.head_received = True
+            return await self._relay(job, started_attempt, progress, sent.ok_value, request)
         finally:
             endpoint_state.in_flight -= not counted_by_local_router
             endpoint_state.waiting_tokens_by_request.pop(job.call.id, None)
 
-    def _apply_feedback(self, begun: Begun, sent: Result[Reply, SendFailure]) -> None:
+    def _apply_feedback(self, started_attempt: StartedAttempt, sent: Result[Reply, SendFailure]) -> None:
         """Apply the endpoint's feedback in the head of a reply."""
         said = sent.err_value.feedback if isinstance(sent, Err) else sent.ok_value.feedback
         if said is not None:
-            apply_feedback(self.state, begun.choice.endpoint, begun.held, said, begun.sent_at, monotonic())
+            apply_feedback(
+                self.state,
+                started_attempt.choice.endpoint,
+                started_attempt.endpoint_state,
+                said,
+                started_attempt.sent_at,
+                monotonic(),
+            )
 
-    async def _send(self, job: Job, begun: Begun, progress: Progress) -> Result[Reply, SendFailure]:
+    async def _send(
+        self, job: Job, started_attempt: StartedAttempt, progress: JobProgress
+    ) -> Result[Reply, SendFailure]:
         left_s = job.deadline - monotonic()
-        after = progress.stream.last_event or job.call.resume_after
-        dispatch = self._dispatch(job, begun.choice, left_s, after)
+        after = progress.stream.last_event_id or job.call.resume_after
+        dispatch = self._dispatch(job, started_attempt.choice, left_s, after)
 
         def guard() -> bool:
             if not self._keys_fresh(job) or job.deadline <= monotonic() or self._quarantined_s(job) > 0:
                 return False
-            if not takes_work(self.state, begun.choice.endpoint) or is_backing_off(begun.held, monotonic()):
+            if not takes_work(self.state, started_attempt.choice.endpoint) or is_backing_off(
+                started_attempt.endpoint_state, monotonic()
+            ):
                 return False
-            return not self._version_too_old(job, begun.choice)
+            return not self._version_too_old(job, started_attempt.choice)
 
-        return await self.endpoints.send(job.call, job.body, dispatch, begun.attempt, guard, left_s)
+        return await self.endpoints.send(job.call, job.body, dispatch, started_attempt.attempt, guard, left_s)
 
     def _dispatch(self, job: Job, choice: Choice, left_s: float, resume_after: str | None) -> Dispatch:
         placement = choice.placement
@@ -211,7 +222,12 @@
         )
 
     async def _relay(
-        self, job: Job, begun: Begun, progress: Progress, reply: Reply, request: web.Request
+        self,
+        job: Job,
+        started_attempt: StartedAttempt,
+        progress: JobProgress,
+        reply: Reply,
+        request: web.Request,
     ) -> web.StreamResponse | None:
         """Relay a reply. Return None if the attempt failed and the job may be retried."""
         try:
@@ -221,8 +237,8 @@
                     reply,
                     progress.stream,
                     job.deadline,
-                    on_first=lambda: self._on_first_output(job, begun),
-                    last_on_connection=self.state.should_close_connections,
+                    on_first_event=lambda: self._on_first_output(job, started_attempt),
+                    should_close=self.state.should_close_connections,
                 )
                 response = progress.stream.response
                 assert response is not None
@@ -230,99 +246,109 @@
                 # The caller already has the head of a stream, which no other answer may follow.
                 raise IncompleteResponseError(f"status {reply.status} in place of the rest of a stream")
             else:
-                body = await read_whole(reply, job.deadline)
+                body = await read_body(reply, job.deadline)
                 if reply.status >= SERVER_ERROR and self._handle_error_reply(
-                    job, begun, progress, reply, body
+                    job, started_attempt, progress, reply, body
                 ):
                     return None
-                self._on_first_output(job, begun)
-                response = whole_response(reply, body)
+                self._on_first_output(job, started_attempt)
+                response = buffered_response(reply, body)
         except (IncompleteResponseError, TimeoutError) as error:
             kind = ErrorKind.DEADLINE if isinstance(error, TimeoutError) else ErrorKind.ENDPOINT_FAILED
-            begun.attempt.lose()
+            started_attempt.attempt.lose()
             fault = kind != ErrorKind.DEADLINE
             detail = f"the answer broke off: {error}"
             failure = SendFailure(
-                kind, begun.attempt.ran, detail, reply.status, fault=fault, connection_broken=fault
+                kind, started_attempt.attempt.ran, detail, reply.status, fault=fault, connection_broken=fault
             )
-            self._on_failed(job, begun, progress, failure)
+            self._on_failed(job, started_attempt, progress, failure)
             return None
         finally:
             reply.close()
-        begun.attempt.finish()
-        self._on_succeeded(job, begun, reply, progress)
+        started_attempt.attempt.finish()
+        self._on_succeeded(job, started_attempt, reply, progress)
         return response
 
     def _handle_error_reply(
-        self, job: Job, begun: Begun, progress: Progress, reply: Reply, body: bytes
+        self, job: Job, started_attempt: StartedAttempt, progress: JobProgress, reply: Reply, body: bytes
     ) -> bool:
         """Keep an endpoint's error reply. Return whether the job is retried instead of relaying it."""
-        progress.kept_reply = (reply, body)
+        progress.error_reply = (reply, body)
         should_retry = job.route.retryable and progress.runs + 1 < job.route.max_attempts
         if not should_retry:
             return False
-        begun.attempt.lose()
+        started_attempt.attempt.lose()
         failure = SendFailure(
-            ErrorKind.ENDPOINT_FAILED, begun.attempt.ran, f"status {reply.status}", reply.status, fault=False
+            ErrorKind.ENDPOINT_FAILED,
+            started_attempt.attempt.ran,
+            f"status {reply.status}",
+            reply.status,
+            fault=False,
         )
-        self._on_failed(job, begun, progress, failure)
+        self._on_failed(job, started_attempt, progress, failure)
         return True
 
-    def _on_first_output(self, job: Job, begun: Begun) -> None:
-        if begun.first_at is not None:
+    def _on_first_output(self, job: Job, started_attempt: StartedAttempt) -> None:
+        if started_attempt.first_byte_at is not None:
             return
-        begun.first_at = monotonic()
-        begun.held.waiting_tokens_by_request.pop(job.call.id, None)
-        record_first(self.state, job, begun.first_at)
-        placement = begun.choice.placement
+        started_attempt.first_byte_at = monotonic()
+        started_attempt.endpoint_state.waiting_tokens_by_request.pop(job.call.id, None)
+        record_first_byte(self.state, job, started_attempt.first_byte_at)
+        placement = started_attempt.choice.placement
         if placement is None or job.call.prompt is None:
             return
-        record_prompt(self.state, job, placement)
-        self.chooser.prefill_finished(begun.choice)
+        record_prompt_tokens(self.state, job, placement)
+        self.chooser.prefill_finished(started_attempt.choice)
 
-    def _on_failed(self, job: Job, begun: Begun, progress: Progress, failure: SendFailure) -> None:
+    def _on_failed(
+        self, job: Job, started_attempt: StartedAttempt, progress: JobProgress, failure: SendFailure
+    ) -> None:
         """Record a failed attempt."""
         now = monotonic()
         progress.last = failure
         progress.ran = combine_execution_status(progress.ran, failure.ran)
-        progress.tried.add(begun.choice.endpoint.id)
+        progress.tried.add(started_attempt.choice.endpoint.id)
         if failure.ran == ExecutionStatus.NOT_RUN:
             progress.refused += 1
-            begun.held.refused_until = now + BUSY_BACKOFF_S
+            started_attempt.endpoint_state.refused_until = now + BUSY_BACKOFF_S
         else:
             progress.runs += 1
         if _counts_against_endpoint(failure):
-            begun.held.on_outcome(True, now)
+            started_attempt.endpoint_state.on_outcome(True, now)
             if _was_unreachable(failure):
-                begun.held.unreachable_at = now
+                started_attempt.endpoint_state.unreachable_at = now
         if failure.connection_broken:
-            self.crashes.connection_broken(job, begun, progress.stream.events)
-        record_failed(self.state, job, begun, failure, now)
+            self.crashes.connection_broken(job, started_attempt, progress.stream.events)
+        record_attempt_failed(self.state, job, started_attempt, failure, now)
 
-    def _on_succeeded(self, job: Job, begun: Begun, reply: Reply, progress: Progress) -> None:
+    def _on_succeeded(
+        self, job: Job, started_attempt: StartedAttempt, reply: Reply, progress: JobProgress
+    ) -> None:
         now = monotonic()
         if reply.status < SERVER_ERROR:
             self.state.quarantine.record_served(job.digest)
-        begun.held.on_outcome(False, now)
-        begun.held.response_time_s += RESPONSE_TIME_WEIGHT * (
-            (now - begun.sent_at) - begun.held.response_time_s
+        started_attempt.endpoint_state.on_outcome(False, now)
+        started_attempt.endpoint_state.response_time_s += RESPONSE_TIME_WEIGHT * (
+            (now - started_attempt.sent_at) - started_attempt.endpoint_state.response_time_s
         )
         if reply.version is not None:
-            begun.held.version = max(begun.held.version, reply.version)
-        record_answered(self.state, job, begun, reply, progress, now)
+            started_attempt.endpoint_state.version = max(
+                started_attempt.endpoint_state.version, reply.version
+            )
+        record_answered(self.state, job, started_attempt, reply, progress, now)
 
     def _give_up(
-        self, job: Job, progress: Progress, refusal: Refusal, request: web.Request
+        self, job: Job, progress: JobProgress, refusal: Refusal, request: web.Request
     ) -> Result[web.StreamResponse, Refusal]:
         """End a failed job with the endpoint's own error, a refusal, or a truncated stream."""
         if progress.stream.response is not None:
-            cut(request)
-            record_given_up(self.state, job, "cut", progress.ran, refusal)
+            abort_connection(request)
+            record_job_failed(self.state, job, "cut", progress.ran, refusal)
             return Ok(progress.stream.response)
-        if progress.kept_reply is not None:
-            reply, body = progress.kept_reply
-            record_given_up(self.state, job, "endpoint_error", progress.ran, refusal)
-            return Ok(whole_response(reply, body))
+        if progress.error_reply is not None:
+            reply, body = progress.error_reply
+            record_job_failed(self.state, job, "endpoint_error", progress.ran, refusal)
+            return Ok(buffered_response(reply, body))
         return Err(reconcile_status(refusal, progress.ran))
 
 
@@ -332,13 +358,13 @@
     return monotonic() + retry_after_s < min(until, job.deadline - MIN_REMAINING_S)
 
 
-def _no_endpoint_refusal(progress: Progress, retry_after_s: float | None) -> Refusal:
+def _no_endpoint_refusal(progress: JobProgress, retry_after_s: float | None) -> Refusal:
     if retry_after_s is None:
         return Refusal(ErrorKind.NO_ENDPOINT, progress.ran)
     return all_throttled(retry_after_s, progress.ran)
 
 
-def _attempt_outcome(response: web.StreamResponse | None, progress: Progress) -> Outcome:
+def _attempt_outcome(response: web.StreamResponse | None, progress: JobProgress) -> Outcome:
     """Return what an attempt that has just ended tells about its endpoint."""
     failure = progress.last
     if response is not None or failure is None:
@@ -360,7 +386,7 @@
     return failure.fault and failure.kind != ErrorKind.DEADLINE
 
 
-def _most_backlog_s(job: Job, progress: Progress) -> float | None:
+def _most_backlog_s(job: Job, progress: JobProgress) -> float | None:
     """Return the backlog in seconds above which a request is shed, None for those that are never shed.
 
     Only first attempts of the lowest priority are shed, so that the others still meet their objectives.
--- a/stairquay/serving/endpoint_chooser.py
+++ b/stairquay/serving/endpoint_chooser.py
@@ -18,13 +18,13 @@
 from stairquay.serving.endpoint_choice import Choice, ChoiceRequest
 from stairquay.serving.evacuation import takes_work
 from stairquay.serving.event_log import LogEvent
-from stairquay.serving.jobs import Job, Progress
+from stairquay.serving.jobs import Job, JobProgress
 from stairquay.serving.links import RouterClients
 from stairquay.serving.local_router import LocalRouter
 from stairquay.serving.messages import EndedAttempt, Outcome, PlaceReply, PlaceRequest, PromptPart
 from stairquay.serving.notices import NoticeSender
 from stairquay.serving.pacing import count_sent, retry_after_s
-from stairquay.serving.saving import choose_and_save
+from stairquay.serving.saving import choose_with_save_targets
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import backoffs_by_id, limit_of
 from stairquay.serving.telling import apply_peer_feedback, backoffs_for_router, feedback_for_peers
@@ -59,7 +59,7 @@
         self.notices = notices
         self.random = random
 
-    async def choose(self, job: Job, progress: Progress, most_backlog_s: float | None) -> Choice | None:
+    async def choose(self, job: Job, progress: JobProgress, most_backlog_s: float | None) -> Choice | None:
         """Return the endpoint for a job, None if no endpoint can take it.
 
         most_backlog_s: backlog above which the caller rejects the job; None if it never does.
@@ -90,10 +90,10 @@
         )
 
     async def _ask_routers(
-        self, job: Job, prompt: PromptShape, request: PlaceRequest, progress: Progress
+        self, job: Job, prompt: PromptShape, request: PlaceRequest, progress: JobProgress
     ) -> Choice | None:
         best: Choice | None = None
-        progress.come_back_s = None
+        progress.retry_after_s = None
         for router in routers_for(self.state.member, self.state.placing_routers())[:ROUTERS_ASKED]:
             choice = await self._place(router, request, prompt, progress)
             best = self._keep_shorter_wait(best, choice)
@@ -114,7 +114,7 @@
             self.notices.add_ended(router, EndedAttempt(choice.ticket, outcome))
 
     async def _place(
-        self, router: Member, request: PlaceRequest, prompt: PromptShape, progress: Progress
+        self, router: Member, request: PlaceRequest, prompt: PromptShape, progress: JobProgress
     ) -> Choice | None:
         """Return a router's choice, None if it has none that this box may use."""
         try:
@@ -127,7 +127,7 @@
             return None
         if not reply.endpoint:
             if reply.come_back_s > 0:
-                progress.come_back_s = min(reply.come_back_s, progress.come_back_s or reply.come_back_s)
+                progress.retry_after_s = min(reply.come_back_s, progress.retry_after_s or reply.come_back_s)
             return None
         endpoint = self._usable_endpoint(reply, prompt)
         if endpoint is None:
@@ -194,21 +194,21 @@
         too_old = self.state.version_too_old(prompt.model, reply.version or 0, reply.first_token_s)
         return None if too_old else usable
 
-    def _choose_locally(self, job: Job, progress: Progress) -> Choice | None:
+    def _choose_locally(self, job: Job, progress: JobProgress) -> Choice | None:
         tried, backoffs_s = frozenset(progress.tried), backoffs_by_id(self.state, monotonic())
         wanted = ChoiceRequest(job.service, job.call.prompt, job.workspace, tried, backoffs_s=backoffs_s)
-        choice = choose_and_save(self.state, job.catalog, wanted, self.random)
+        choice = choose_with_save_targets(self.state, job.catalog, wanted, self.random)
         if choice is not None:
             count_sent(self.state, choice.endpoint, monotonic(), self.random)
         return choice
 
-    def retry_after_s(self, job: Job, progress: Progress) -> float | None:
+    def retry_after_s(self, job: Job, progress: JobProgress) -> float | None:
         """Return the seconds until an endpoint is expected to accept the job, None if none is throttled.
 
         The routers' estimate counts; without one, this box makes its own.
         """
-        if progress.come_back_s is not None:
-            return progress.come_back_s
+        if progress.retry_after_s is not None:
+            return progress.retry_after_s
         now = monotonic()
         backoffs_s = backoffs_by_id(self.state, now)
         return retry_after_s(self.state, job.service.id, progress.tried, backoffs_s, now, self.random)
@@ -229,7 +229,7 @@
         self,
         job: Job,
         prompt: PromptShape,
-        progress: Progress,
+        progress: JobProgress,
         most_backlog_s: float | None,
         may_wait: bool,
     ) -> PlaceRequest:
--- a/stairquay/serving/links.py
+++ b/stairquay/serving/links.py
@@ -153,7 +153,7 @@
                 self._log(router, "regained", question)
             return answer
         self.state.suspect(router.id, SUSPECT_S)
-        self.state.metrics.silent_routers.inc()
+        self.state.metrics.unanswered_router_calls.inc()
         if router.id not in self.lost_ids:
             self.lost_ids.add(router.id)
             self._log(router, "lost", question)
--- a/stairquay/serving/records.py
+++ b/stairquay/serving/records.py
@@ -1,4 +1,4 @@
-"""Log lines and metrics of a job's attempts and of its end."""
+"""Writes log lines and metrics about the attempts and the end of a job."""
 
 from stairquay.adapters.clock import monotonic
 from stairquay.core.errors import ExecutionStatus, Refusal
@@ -6,31 +6,31 @@
 from stairquay.core.placement import Placement
 from stairquay.serving.endpoint_choice import Choice
 from stairquay.serving.event_log import LogEvent
-from stairquay.serving.jobs import Begun, Job, Progress
+from stairquay.serving.jobs import Job, JobProgress, StartedAttempt
 from stairquay.serving.ports import Feedback, Reply, SendFailure
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import limit_of
 
 
-def said_inputs(said: Feedback | None) -> dict[str, object]:
-    """Return what an answer said of its endpoint's use, as lines give it."""
-    if said is None:
+def feedback_fields(feedback: Feedback | None) -> dict[str, object]:
+    """Return the log fields for an endpoint's feedback."""
+    if feedback is None:
         return {}
-    inputs: dict[str, object] = {}
-    if said.limit_per_s != UNLIMITED:
-        inputs["limit_per_s"] = said.limit_per_s
-    if said.leaving:
-        inputs["leaving"] = True
-    if said.backoff_s:
-        inputs["rest_s"] = said.backoff_s
-    if said.unreadable:
-        inputs["unreadable"] = {topic.value: text for topic, text in said.unreadable}
-    return inputs
-
-
-def record_sent(state: BoxState, job: Job, choice: Choice, progress: Progress) -> None:
-    """Log where an attempt goes, and by which inputs that was decided."""
-    inputs: dict[str, object] = {
+    fields: dict[str, object] = {}
+    if feedback.limit_per_s != UNLIMITED:
+        fields["limit_per_s"] = feedback.limit_per_s
+    if feedback.leaving:
+        fields["leaving"] = True
+    if feedback.backoff_s:
+        fields["rest_s"] = feedback.backoff_s
+    if feedback.unreadable:
+        fields["unreadable"] = {topic.value: text for topic, text in feedback.unreadable}
+    return fields
+
+
+def record_sent(state: BoxState, job: Job, choice: Choice, progress: JobProgress) -> None:
+    """Log an attempt's endpoint and the inputs of that choice."""
+    fields: dict[str, object] = {
         "endpoint": choice.endpoint.id,
         "address": choice.endpoint.address,
         "service": job.service.id,
@@ -42,15 +42,15 @@
     }
     limit_per_s = limit_of(state.endpoint_state(choice.endpoint))
     if limit_per_s < UNLIMITED:
-        inputs["limit_per_s"] = limit_per_s
+        fields["limit_per_s"] = limit_per_s
     if choice.placement is not None:
-        inputs.update(_placement_inputs(state, choice, choice.placement))
+        fields.update(_placement_fields(state, choice, choice.placement))
     if choice.version is not None and job.call.prompt is not None:
-        inputs["replaced_s"] = state.replaced_for_s(job.call.prompt.model, choice.version)
-    state.log.line(LogEvent.SENT, job.call.id, **inputs)
+        fields["replaced_s"] = state.replaced_for_s(job.call.prompt.model, choice.version)
+    state.log.line(LogEvent.SENT, job.call.id, **fields)
 
 
-def _placement_inputs(state: BoxState, choice: Choice, placement: Placement) -> dict[str, object]:
+def _placement_fields(state: BoxState, choice: Choice, placement: Placement) -> dict[str, object]:
     return {
         "version": choice.version,
         "router": choice.router or state.settings.id,
@@ -68,15 +68,15 @@
     }
 
 
-def record_first(state: BoxState, job: Job, first_at: float) -> None:
-    """Measure the time until the first byte of the answer."""
+def record_first_byte(state: BoxState, job: Job, first_byte_at: float) -> None:
+    """Observe the time from arrival to the first byte of the response."""
     metrics = state.metrics
     labels = metrics.labels.of(job.workspace_id), metrics.labels.of(job.route.id)
-    metrics.first_byte.labels(*labels).observe(first_at - job.arrived_at)
+    metrics.first_byte.labels(*labels).observe(first_byte_at - job.arrived_at)
 
 
-def record_prompt(state: BoxState, job: Job, placement: Placement) -> None:
-    """Measure how the engine was expected to get the prompt."""
+def record_prompt_tokens(state: BoxState, job: Job, placement: Placement) -> None:
+    """Observe how many prompt tokens the engine was expected to reuse, fetch and prefill."""
     metrics = state.metrics
     for way, tokens in (
         ("reused", placement.reused),
@@ -86,33 +86,35 @@
         metrics.prompt_tokens.labels(metrics.labels.of(job.route.id), way).observe(tokens)
 
 
-def record_failed(state: BoxState, job: Job, begun: Begun, failure: SendFailure, now: float) -> None:
+def record_attempt_failed(
+    state: BoxState, job: Job, started_attempt: StartedAttempt, failure: SendFailure, now: float
+) -> None:
     """Log and count a failed attempt."""
     state.metrics.attempts.labels(job.service.id, failure.kind.value).inc()
     state.log.line(
         LogEvent.ATTEMPT_FAILED,
         job.call.id,
-        endpoint=begun.choice.endpoint.id,
+        endpoint=started_attempt.choice.endpoint.id,
         outcome=failure.kind.value,
         ran=failure.ran.value,
         detail=failure.detail,
         status=failure.status,
-        took_s=now - begun.sent_at,
-        failing=begun.held.current_failure_rate(now),
+        took_s=now - started_attempt.sent_at,
+        failing=started_attempt.endpoint_state.current_failure_rate(now),
         broke=failure.connection_broken,
         digest=job.digest,
-        **said_inputs(failure.feedback),
+        **feedback_fields(failure.feedback),
     )
 
 
-def record_not_repeated(state: BoxState, job: Job) -> None:
-    """Log that a failed job is not sent again because the budget for that is spent."""
+def record_retry_denied(state: BoxState, job: Job) -> None:
+    """Log that a failed job is not retried because the retry budget is exhausted."""
     budget = state.retry_budget(job.service.id)
     state.log.line(
         LogEvent.ATTEMPT_FAILED,
         job.call.id,
         outcome="not_sent_again",
-        detail="the budget for sending again is spent",
+        detail="retry budget exhausted",
         repeats=len(budget.retries),
         requests=len(budget.requests),
         boxes=len(state.boxes),
@@ -120,31 +122,40 @@
 
 
 def record_answered(
-    state: BoxState, job: Job, begun: Begun, reply: Reply, progress: Progress, now: float
+    state: BoxState,
+    job: Job,
+    started_attempt: StartedAttempt,
+    reply: Reply,
+    progress: JobProgress,
+    now: float,
 ) -> None:
-    """Log and count a job whose answer was passed on whole."""
+    """Log and count a job whose response was relayed completely."""
     metrics = state.metrics
     route = metrics.labels.of(job.route.id)
     metrics.attempts.labels(job.service.id, "ok").inc()
     metrics.ended.labels(route, "answered").inc()
-    metrics.whole.labels(route).observe(now - job.arrived_at)
+    metrics.response_time.labels(route).observe(now - job.arrived_at)
     state.log.line(
         LogEvent.ENDED,
         job.call.id,
         outcome="answered",
         ran=ExecutionStatus.RAN.value,
         status=reply.status,
-        endpoint=begun.choice.endpoint.id,
+        endpoint=started_attempt.choice.endpoint.id,
         version=reply.version,
         events=progress.stream.events,
-        first_s=None if begun.first_at is None else begun.first_at - job.arrived_at,
+        first_s=None
+        if started_attempt.first_byte_at is None
+        else started_attempt.first_byte_at - job.arrived_at,
         took_s=now - job.arrived_at,
-        **said_inputs(reply.feedback),
+        **feedback_fields(reply.feedback),
     )
 
 
-def record_given_up(state: BoxState, job: Job, outcome: str, ran: ExecutionStatus, refusal: Refusal) -> None:
-    """Log and count a job that ended with an endpoint's error or a cut stream."""
+def record_job_failed(
+    state: BoxState, job: Job, outcome: str, ran: ExecutionStatus, refusal: Refusal
+) -> None:
+    """Log and count a job that ended with an endpoint's error or a truncated stream."""
     state.metrics.ended.labels(state.metrics.labels.of(job.route.id), outcome).inc()
     state.log.line(
         LogEvent.ENDED,
