--- a/stairquay/serving/relay.py
+++ b/stairquay/serving/relay.py
@@ -34,7 +34,7 @@
 async def read_body(reply: Reply, deadline: float) -> bytes:
     """Return the body of a response that is not streamed.
 
-    Raises BrokenAnswer if it breaks off or is too large, and TimeoutError at the deadline.
+    Raises IncompleteResponseError if it breaks off or is too large, and TimeoutError at the deadline.
     """
     body = bytearray()
     async with asyncio.timeout(deadline - monotonic()):
@@ -62,7 +62,7 @@
     on_first_event: Callable[[], None],
     should_close: Callable[[], bool],
 ) -> None:
-    """Relay a stream, complete events only. Raises BrokenAnswer or TimeoutError if it ends early.
+    """Relay a stream, complete events only. Raises IncompleteResponseError or TimeoutError if it ends early.
 
     The head is sent with the first event, so that a stream that breaks off earlier can still be retried.
     """
