--- a/tests/test_box.py
+++ b/tests/test_box.py
@@ -63,9 +63,9 @@
             await here.until_slack()
             for endpoint in here.endpoints:
                 endpoint.errors = 1
-            again = await here.call("/plain/x")
-            assert again.status == 500 and again.body == b"broken"
-            assert again.headers["Response-Signature"].startswith("sig-")
+            answer = await here.call("/plain/x")
+            assert answer.status == 500 and answer.body == b"broken"
+            assert answer.headers["Response-Signature"].startswith("sig-")
             assert sum(len(item.taken) for item in here.endpoints) == 2
             for endpoint in here.endpoints:
                 endpoint.errors = 1
@@ -94,7 +94,7 @@
                 endpoint.errors = 10_000
             await here.until_slack()
             await call_until(here, asyncio.get_running_loop().time() + 1.0)
-            assert sum(again for _, again in calls) >= slack // 2
+            assert sum(retries for _, retries in calls) >= slack // 2
             here.box.kill()
             killed_at = asyncio.get_running_loop().time()
             await here.box.wait()
@@ -103,9 +103,11 @@
             await call_until(here, killed_at + window_s)
 
     asyncio.run(scenario())
-    for last, _ in calls:
-        within = [again for at, again in calls if last - window_s < at <= last]
-        assert sum(within) <= 0.1 * len(within) + slack
+    for window_end, _ in calls:
+        retries_in_window = [
+            retries for ended_at, retries in calls if window_end - window_s < ended_at <= window_end
+        ]
+        assert sum(retries_in_window) <= 0.1 * len(retries_in_window) + slack
 
 
 def test_an_endpoint_that_turns_a_request_away_has_not_run_it():
@@ -200,17 +202,17 @@
 def test_after_the_stop_signal_nothing_is_cut_and_late_requests_are_told_to_come_back():
     async def scenario():
         async with site() as here:
-            async with ClientSession() as kept:
-                assert (await here.call("/plain/x", session=kept)).status == 200
+            async with ClientSession() as session:
+                assert (await here.call("/plain/x", session=session)).status == 200
                 here.endpoints[0].hold_s = 1.5
-                under_way = asyncio.create_task(here.call("/plain/y"))
+                in_flight = asyncio.create_task(here.call("/plain/y"))
                 await eventually(lambda: len(here.endpoints[0].taken) == 2)
                 here.stop_box()
                 await eventually(lambda: _unready(here))
-                assert (await under_way).status == 200
+                assert (await in_flight).status == 200
                 here.endpoints[0].hold_s = 0.0
-                still = await here.call("/plain/z", session=kept)
-                assert still.status == 200 and still.headers["Connection"] == "close"
+                answer = await here.call("/plain/z", session=session)
+                assert answer.status == 200 and answer.headers["Connection"] == "close"
                 await eventually(lambda: here.logged("stop", outcome="refusing"), 5.0)
 
             await asyncio.wait_for(here.box.wait(), 8.0)
@@ -226,18 +228,18 @@
     async def scenario():
         async with site() as here:
             here.endpoints[0].hold_s = 4.5
-            under_way = asyncio.create_task(here.call("/plain/y", headers={"Deadline-Ms": "9000"}))
+            in_flight = asyncio.create_task(here.call("/plain/y", headers={"Deadline-Ms": "9000"}))
             await eventually(lambda: here.endpoints[0].taken)
-            async with ClientSession() as kept:
+            async with ClientSession() as session:
                 here.stop_box()
                 await asyncio.sleep(2.6)
-                opened = asyncio.create_task(here.call("/nowhere/x", session=kept))
-                await opened
+                other_request = asyncio.create_task(here.call("/nowhere/x", session=session))
+                await other_request
                 await eventually(lambda: here.logged("stop", outcome="refusing"), 5.0)
-                late = await here.call("/plain/late", session=kept)
+                late = await here.call("/plain/late", session=session)
             assert late.status in (0, 503)
             assert len(here.endpoints[0].taken) == 1
-            await under_way
+            await in_flight
 
     asyncio.run(scenario())
 
