--- a/tests/test_box_state.py
+++ b/tests/test_box_state.py
@@ -9,7 +9,7 @@
 from tests.states import box_state
 
 
-def in_force(here: Site, version: int):
+def configuration_in_force(here: Site, version: int):
     return lambda: here.logged("configuration", outcome="in_force", version=version)
 
 
@@ -19,7 +19,7 @@
             assert (await here.call("/new/x")).status == 404
             routes = [*configuration(2, [])["routes"], route("new", "/new/", "plain")]
             here.put_configuration(5, routes=routes)
-            await eventually(in_force(here, 5), 1.0)
+            await eventually(configuration_in_force(here, 5), 1.0)
             assert (await here.call("/new/x")).status == 200
             here.put_configuration(4)
             await asyncio.sleep(0.5)
@@ -42,7 +42,7 @@
     async def scenario():
         async with site() as here:
             here.put_configuration(2, tenants=[{"name": "w1", "api_keys": ["another"]}])
-            await eventually(in_force(here, 2))
+            await eventually(configuration_in_force(here, 2))
             assert (await here.call("/plain/x")).status == 401
 
     asyncio.run(scenario())
@@ -95,7 +95,7 @@
             here.table.forgotten = here.table.counter + 1_000
             here.put_configuration(2, tenants=[{"name": "w1", "api_keys": ["another"]}])
             here.endpoints[0].id = "p-0"
-            await eventually(in_force(here, 2), 3.0)
+            await eventually(configuration_in_force(here, 2), 3.0)
             assert (await here.call("/plain/x", key="another")).status == 200
 
     asyncio.run(scenario())
@@ -139,12 +139,12 @@
     async def scenario():
         async with site() as here:
             here.endpoints[0].hold_s = 1.0
-            under_way = asyncio.create_task(here.call("/plain/x"))
+            in_flight = asyncio.create_task(here.call("/plain/x"))
             await eventually(lambda: here.endpoints[0].taken)
             here.bounds["revoke_ms"] = 1000
             here.write_settings()
             here.box.send_signal(signal.SIGHUP)
-            assert (await under_way).status == 200
+            assert (await in_flight).status == 200
             await eventually(lambda: here.logged("reload", outcome="in_force"))
             here.table.down = True
             await asyncio.sleep(1.5)
@@ -229,21 +229,21 @@
             await asyncio.sleep(30)
 
         state = box_state()
-        part = asyncio.create_task(run_with_restarts(state, "work", work))
+        task = asyncio.create_task(run_with_restarts(state, "work", work))
         await eventually(lambda: len(runs) == 2, 3.0)
-        part.cancel()
-        await asyncio.wait([part], timeout=1.0)
-        assert part.cancelled()
+        task.cancel()
+        await asyncio.wait([task], timeout=1.0)
+        assert task.cancelled()
 
     asyncio.run(scenario())
 
 
-ELSEWHERE = {"dependency", "freed", "reload", "part_failed", "left_out", "router", "waits"}
-ELSEWHERE |= {"evacuation", "born_anew", "crashed", "quarantine"}
+EVENTS_TESTED_ELSEWHERE = {"dependency", "freed", "reload", "part_failed", "left_out", "router", "waits"}
+EVENTS_TESTED_ELSEWHERE |= {"evacuation", "born_anew", "crashed", "quarantine"}
 """Kinds of lines that other tests provoke: outages, replaced weights, settings, failing parts, floods, many
 boxes, bursts, data halls that get nothing, endpoints that start again, requests that crash endpoints."""
 
-INPUTS_BY_KIND = {
+LOG_KEYS_BY_EVENT = {
     "start": {"front"},
     "configuration": {"outcome", "version", "before"},
     "version_named": {"model", "version", "named_s_ago", "source"},
@@ -288,11 +288,11 @@
             here.stop_box()
             await asyncio.wait_for(here.box.wait(), 8.0)
             await here.reader
-            for kind, inputs in INPUTS_BY_KIND.items():
-                assert any(inputs <= line.keys() for line in here.logged(kind)), kind
+            for event, keys in LOG_KEYS_BY_EVENT.items():
+                assert any(keys <= line.keys() for line in here.logged(event)), event
             assert here.logged("sent", request="prompt-1") and here.logged("ended", request="prompt-1")
             assert here.logged("refused", request="lost-1", cause="unknown_path")
             assert here.logged("attempt_failed", request="again-1")
 
-    assert {kind.value for kind in LogEvent} == INPUTS_BY_KIND.keys() | ELSEWHERE
+    assert {event.value for event in LogEvent} == LOG_KEYS_BY_EVENT.keys() | EVENTS_TESTED_ELSEWHERE
     asyncio.run(scenario())
