--- a/tests/test_box_weights.py
+++ b/tests/test_box_weights.py
@@ -6,7 +6,7 @@
 from tests.standins.dialect import StoreBox
 
 
-async def keep_a_part(here: Site) -> StoreBox:
+async def store_part(here: Site) -> StoreBox:
     """Have the first store box keep a part, and wait until the box has read what it keeps."""
     store = here.stores[0]
     store.keep(SCOPE, "aa", 500)
@@ -102,7 +102,7 @@
 def test_nothing_is_fetched_from_a_store_box_that_started_anew():
     async def scenario():
         async with site(plain=0, engines=1, stores=1) as here:
-            store = await keep_a_part(here)
+            store = await store_part(here)
             await asyncio.sleep(0.5)
             assert (await here.prompt()).status == 200
             assert store.address in here.engines()[0].taken[0].headers["Kv-Fetch"]
@@ -117,7 +117,7 @@
 def test_nothing_is_fetched_from_a_store_box_that_fell_silent():
     async def scenario():
         async with site(plain=0, engines=1, stores=1) as here:
-            store = await keep_a_part(here)
+            store = await store_part(here)
             await asyncio.sleep(0.3)
             store.silent = True
             await eventually(lambda: here.logged("store_view", cause="silent"), 4.0)
@@ -164,11 +164,11 @@
             for engine in here.engines():
                 engine.silent = True
             # The engine that keeps the prompt is chosen again.
-            keeps = next(engine for engine in here.engines() if engine.taken)
-            keeps.version = 3
+            caching_engine = next(engine for engine in here.engines() if engine.taken)
+            caching_engine.version = 3
             for number in range(6):
                 assert (await here.prompt(call_id=f"call-{number}")).status == 200
-            await eventually(lambda: here.logged("attempt_failed", status=421, endpoint=keeps.id))
+            await eventually(lambda: here.logged("attempt_failed", status=421, endpoint=caching_engine.id))
 
     asyncio.run(scenario())
 
