--- a/tests/test_boxes.py
+++ b/tests/test_boxes.py
@@ -15,34 +15,34 @@
 from tests.site import Site, configuration, eventually, site
 
 
-def run(*args: str) -> tuple[ExitStatus, str, str]:
+def run_boxes(*args: str) -> tuple[ExitStatus, str, str]:
     out, err = io.StringIO(), io.StringIO()
     status = main(["boxes", *args], Environment(io.StringIO(), out, err, {}))
     return status, out.getvalue(), err.getvalue()
 
 
-async def shown(here: Site, *options: str) -> tuple[ExitStatus, str, str]:
+async def run_boxes_against(here: Site, *options: str) -> tuple[ExitStatus, str, str]:
     return await asyncio.to_thread(
-        run, here.table.address, "--metrics-port", str(here.metrics_port), *options
+        run_boxes, here.table.address, "--metrics-port", str(here.metrics_port), *options
     )
 
 
-async def until_written(here: Site) -> None:
-    own = f"{KEY_PREFIX}{here.name}@127.0.0.1"
-    await eventually(lambda: any(key == own for _, key in here.table.rows_by_key))
+async def wait_for_own_row(here: Site) -> None:
+    own_key = f"{KEY_PREFIX}{here.name}@127.0.0.1"
+    await eventually(lambda: any(key == own_key for _, key in here.table.rows_by_key))
 
 
 def test_boxes_shows_who_routes_and_how_old_views_are():
     async def scenario():
         async with site() as here:
-            await until_written(here)
-            status, out, _ = await shown(here)
+            await wait_for_own_row(here)
+            status, out, _ = await run_boxes_against(here)
             assert status == ExitStatus.SUCCESS
             assert "boxes:      1, 0 of them silent" in out
             assert f"routers:    {here.name}@127.0.0.1" in out and "data halls: hall-a 1" in out
             assert "oldest" in out
-            told = json.loads((await shown(here, "--json"))[1])
-            assert 0 <= told["boxes"][0]["view_age_s"] < 2.5
+            report = json.loads((await run_boxes_against(here, "--json"))[1])
+            assert 0 <= report["boxes"][0]["view_age_s"] < 2.5
 
     asyncio.run(scenario())
 
@@ -50,7 +50,7 @@
 def test_boxes_shows_evacuated_halls_and_cold_endpoints():
     async def scenario():
         async with site(plain=1, engines=1) as here:
-            await until_written(here)
+            await wait_for_own_row(here)
             services = configuration(2, [])["services"]
             for service in services:
                 service["cold_per_s"] = 18.0
@@ -60,7 +60,7 @@
             engine.cold_ms = 30_000
             here.table.put("servers", engine.id, engine.entry())
             await eventually(lambda: here.logged("evacuation") and here.logged("endpoints", standing="cold"))
-            out = (await shown(here))[1]
+            out = (await run_boxes_against(here))[1]
             assert "evacuated:  hall-a, known at 1 of 1" in out
             assert "cold:       e-0 2" in out
 
@@ -70,10 +70,10 @@
 def test_boxes_shows_the_limits_that_endpoints_name():
     async def scenario():
         async with site(plain=1) as here:
-            await until_written(here)
+            await wait_for_own_row(here)
             here.endpoints[0].limit = "2.5"
             assert (await here.call("/plain/x")).status == 200
-            assert "limited:    p-0 2.5 a second, known at 1" in (await shown(here))[1]
+            assert "limited:    p-0 2.5 a second, known at 1" in (await run_boxes_against(here))[1]
 
     asyncio.run(scenario())
 
@@ -81,15 +81,15 @@
 def test_boxes_shows_which_endpoints_leave_and_which_want_rest():
     async def scenario():
         async with site(plain=1, engines=1) as here:
-            await until_written(here)
+            await wait_for_own_row(here)
             plain, engine = here.endpoints
             plain.refuse, plain.rest, engine.leaving = 1, "30", "1"
             assert (await here.call("/plain/x")).status == 503
             assert (await here.prompt()).status == 200
-            out = (await shown(here))[1]
+            out = (await run_boxes_against(here))[1]
             assert "leaving:    e-0, known at 1\n" in out
-            left = re.search(r"^resting:    p-0 (\S+) s, from 1$", out, re.M)
-            assert left is not None and 25 < float(left[1]) <= 30
+            backoff = re.search(r"^resting:    p-0 (\S+) s, from 1$", out, re.M)
+            assert backoff is not None and 25 < float(backoff[1]) <= 30
 
     asyncio.run(scenario())
 
@@ -97,12 +97,12 @@
 def test_boxes_names_those_that_are_silent_and_rows_that_cannot_be_read():
     async def scenario():
         async with site() as here:
-            await until_written(here)
+            await wait_for_own_row(here)
             # 127.0.0.2 is this machine, too, but no box listens there.
-            gone = {"beat": 9, "address": "127.0.0.2:1", "capacity": 9.0, "data_hall": "hall-b"}
-            here.table.put(OWN_TABLE, KEY_PREFIX + "gone@127.0.0.2", gone)
+            silent_row = {"beat": 9, "address": "127.0.0.2:1", "capacity": 9.0, "data_hall": "hall-b"}
+            here.table.put(OWN_TABLE, KEY_PREFIX + "gone@127.0.0.2", silent_row)
             here.table.put(OWN_TABLE, KEY_PREFIX + "odd@127.0.0.2", {"beat": "many"})
-            status, out, _ = await shown(here)
+            status, out, _ = await run_boxes_against(here)
             assert status == ExitStatus.BEHIND
             assert "boxes:      3, 2 of them silent" in out
             assert "silent:     gone@127.0.0.2, odd@127.0.0.2" in out
@@ -114,7 +114,7 @@
 
 
 def test_boxes_says_where_the_table_service_does_not_answer():
-    status, out, err = run(f"127.0.0.1:{free_port()}")
+    status, out, err = run_boxes(f"127.0.0.1:{free_port()}")
     assert status == ExitStatus.UNREACHED and not out
     assert "does not answer" in err
     assert asyncio.run(inspect_fleet(f"127.0.0.1:{free_port()}", 1)).is_err()
