--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -6,7 +6,7 @@
 from stairquay.adapters.follower import View, fetch_from_router, follow
 from stairquay.adapters.program import wait_until
 
-LIMIT_S = 0.2
+ROUND_TIMEOUT_S = 0.2
 """Seconds that a round may take here; long enough for a busy machine."""
 
 
@@ -32,34 +32,34 @@
 
 def test_a_question_ends_with_the_task_that_asks():
     async def scenario() -> bool:
-        asking = asyncio.create_task(
+        task = asyncio.create_task(
             fetch_from_router(Channels(hang=True), "r:1", View("b", "entry", 5.0), 1.0)
         )
         await asyncio.sleep(0.01)
-        asking.cancel()
-        await asyncio.wait([asking])
-        return asking.cancelled()
+        task.cancel()
+        await asyncio.wait([task])
+        return task.cancelled()
 
     assert asyncio.run(scenario())
 
 
-def following_after_a_first_round_that(first: Callable[[], Awaitable[None]]) -> int:
+def count_rounds(first_round: Callable[[], Awaitable[None]]) -> int:
     """Return how many rounds a program begins whose first round does that."""
 
     async def scenario() -> int:
         rounds = 0
 
-        async def one_round(view: View) -> None:
+        async def run_round(view: View) -> None:
             nonlocal rounds
             rounds += 1
             if rounds == 1:
-                await first()
+                await first_round()
 
-        following = asyncio.create_task(follow(View("box-1", "entry", 5.0), one_round, 0.01, LIMIT_S))
-        await wait_until(lambda: rounds > 1 or following.done(), limit_s=2.0)
-        following.cancel()
-        await asyncio.wait([following], timeout=1.0)
-        assert following.cancelled()
+        task = asyncio.create_task(follow(View("box-1", "entry", 5.0), run_round, 0.01, ROUND_TIMEOUT_S))
+        await wait_until(lambda: rounds > 1 or task.done(), limit_s=2.0)
+        task.cancel()
+        await asyncio.wait([task], timeout=1.0)
+        assert task.cancelled()
         return rounds
 
     return asyncio.run(scenario())
@@ -69,25 +69,25 @@
     async def cancelled_from_inside() -> None:
         raise asyncio.CancelledError
 
-    assert following_after_a_first_round_that(cancelled_from_inside) > 1
+    assert count_rounds(cancelled_from_inside) > 1
 
 
 def test_following_goes_on_after_a_round_that_does_not_end():
     async def without_end() -> None:
         await asyncio.Event().wait()
 
-    assert following_after_a_first_round_that(without_end) > 1
+    assert count_rounds(without_end) > 1
 
 
 def test_following_ends_with_its_task_in_the_midst_of_a_round():
     async def scenario() -> bool:
-        async def one_round(view: View) -> None:
+        async def run_round(view: View) -> None:
             await asyncio.Event().wait()
 
-        following = asyncio.create_task(follow(View("box-1", "entry", 5.0), one_round, 0.01, 30.0))
+        task = asyncio.create_task(follow(View("box-1", "entry", 5.0), run_round, 0.01, 30.0))
         await asyncio.sleep(0.01)
-        following.cancel()
-        await asyncio.wait([following], timeout=1.0)
-        return following.cancelled()
+        task.cancel()
+        await asyncio.wait([task], timeout=1.0)
+        return task.cancelled()
 
     assert asyncio.run(scenario())
