--- a/tests/test_idle_box.py
+++ b/tests/test_idle_box.py
@@ -23,27 +23,27 @@
 from stairquay.serving.state import BoxState
 from tests.states import box_state
 
-SETTLED_S = 2.0
+SETTLE_S = 2.0
 """Seconds for the first heartbeats, after which the parts of a box have nothing more to do."""
 
-WATCHED_S = 4.0
-MOST_WAKINGS_S = 2.0
+MEASURED_S = 4.0
+MAX_WAKEUPS_PER_S = 2.0
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
     """Counts the timers that fire."""
 
-    fired = 0
+    fired_timers = 0
 
     def call_at(self, when, callback, *args, context=None):
         def fire() -> None:
-            self.fired += 1
+            self.fired_timers += 1
             callback(*args)
 
         return super().call_at(when, fire, context=context)
 
 
-class HeldFeeds:
+class IdleFeeds:
     """A table service in which nothing changes: its questions are held, and wake nobody."""
 
     async def read_operators(self):
@@ -59,7 +59,7 @@
         await asyncio.get_running_loop().create_future()
 
 
-class HeldCrashes:
+class IdleCrashRows:
     """Rows about crashes, of which there are none."""
 
     async def read(self):
@@ -72,15 +72,15 @@
         return ClockOffset(0.0, 0.0)
 
 
-class Rows:
+class BoxRows:
     """The boxes' rows: those of others, one of which routes for all, so that this box is an ordinary one."""
 
     def __init__(self) -> None:
         router = '{"beat": 1, "address": "127.0.0.1:9", "capacity": 1.0, "data_hall": "hall-a"}'
-        plain = '{"beat": 1, "address": "", "capacity": 0.0, "data_hall": "hall-a"}'
+        ordinary = '{"beat": 1, "address": "", "capacity": 0.0, "data_hall": "hall-a"}'
         names = ["router-1", "router-2"]
         self.rows = [Row(f"box/{name}", router, 1) for name in names]
-        self.rows += [Row(f"box/other-{number}", plain, 1) for number in range(200)]
+        self.rows += [Row(f"box/other-{number}", ordinary, 1) for number in range(200)]
 
     async def list_prefix(self, prefix):
         return Ok(tuple(self.rows))
@@ -92,28 +92,28 @@
         return ClockOffset(0.0, 0.0)
 
 
-def wakings_a_second(settings: BoxSettings) -> float:
+def wakeups_per_second(settings: BoxSettings) -> float:
     """Run the parts of a box that serves nobody, and count how often timers wake it."""
     loop = CountingLoop()
 
     async def scenario() -> float:
         state = BoxState(settings, EventLog(settings.id, write=len))
-        surroundings = Ports(HeldFeeds(), Rows(), None, None, None, "", None, HeldCrashes())
-        links, router = RouterClients(state), LocalRouter(state, Random(1))
-        notices = NoticeSender(state, links, router)
-        parts = background_tasks(state, surroundings, links, router, notices, Random(1))
-        tasks = [asyncio.create_task(part()) for part in parts.values()]
-        await asyncio.sleep(SETTLED_S)
+        ports = Ports(IdleFeeds(), BoxRows(), None, None, None, "", None, IdleCrashRows())
+        router_clients, router = RouterClients(state), LocalRouter(state, Random(1))
+        notices = NoticeSender(state, router_clients, router)
+        tasks_by_name = background_tasks(state, ports, router_clients, router, notices, Random(1))
+        tasks = [asyncio.create_task(run_task()) for run_task in tasks_by_name.values()]
+        await asyncio.sleep(SETTLE_S)
         assert not state.is_router and len(state.boxes) > 200
-        before = loop.fired
-        await asyncio.sleep(WATCHED_S)
+        before = loop.fired_timers
+        await asyncio.sleep(MEASURED_S)
         ended = [task for task in tasks if task.done()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         assert not ended
         # One of them ended this wait.
-        return (loop.fired - before - 1) / WATCHED_S
+        return (loop.fired_timers - before - 1) / MEASURED_S
 
     try:
         return loop.run_until_complete(scenario())
@@ -124,10 +124,10 @@
 @pytest.mark.parametrize("hall", ["hall-a", "hall-b"])
 def test_an_ordinary_box_without_work_is_hardly_ever_woken_by_timers(hall):
     settings = BoxSettings("b-1", "10.0.0.1", hall, "a:1", "a:2")
-    assert wakings_a_second(settings) < MOST_WAKINGS_S
+    assert wakeups_per_second(settings) < MAX_WAKEUPS_PER_S
 
 
-HELD = 200
+OPEN_REQUESTS = 200
 """Questions held by one of the two boxes that follow the table service for some 200 others."""
 
 
@@ -138,16 +138,16 @@
         state = box_state()
         apply_operators(state, OperatorChanges(1, True, Catalog(1)), monotonic())
         apply_endpoints(state, EndpointChanges(1, True, ()), monotonic())
-        part = LocalRouter(state, Random(1))
-        asked = ViewsRequest(OperatorsRequest(1, 0.4), EndpointsRequest(1, 0.4))
-        before = loop.fired
-        replies = await asyncio.gather(*(part._on_views(asked) for _ in range(HELD)))
+        router = LocalRouter(state, Random(1))
+        request = ViewsRequest(OperatorsRequest(1, 0.4), EndpointsRequest(1, 0.4))
+        before = loop.fired_timers
+        replies = await asyncio.gather(*(router._on_views(request) for _ in range(OPEN_REQUESTS)))
         assert not any(reply.operators.changes.whole for reply in replies)
         assert min(reply.operators.held_s for reply in replies) >= 0.39
-        return loop.fired - before
+        return loop.fired_timers - before
 
     try:
         # Timers may come a moment early, and are then set once more.
-        assert loop.run_until_complete(scenario()) <= 2 * HELD
+        assert loop.run_until_complete(scenario()) <= 2 * OPEN_REQUESTS
     finally:
         loop.close()
