--- a/tests/test_many_boxes.py
+++ b/tests/test_many_boxes.py
@@ -108,12 +108,12 @@
             answers = [await here.prompt(call_id=f"call-{number}") for number in range(6)]
             assert all(answer.status == 200 for answer in answers)
             assert len(router.asked) <= 2
-            await eventually(lambda: all(_lost(here, name) for name in ROUTERS))
+            await eventually(lambda: all(_is_router_lost(here, name) for name in ROUTERS))
             router.silent = False
             await eventually(lambda: _asked_again(here, router), 4.0)
             await eventually(lambda: here.logged("dependency", outcome="regained"))
 
-    def _lost(here: Site, name: str) -> bool:
+    def _is_router_lost(here: Site, name: str) -> bool:
         return bool(here.logged("dependency", name=f"router {name}", outcome="lost"))
 
     async def _asked_again(here: Site, router: Router) -> bool:
@@ -188,11 +188,11 @@
     async def scenario():
         async with routed() as (_, router):
             router.silent = True
-            link = RouterClient(router.address)
-            asking = asyncio.create_task(link.operators(OperatorsRequest(0, 5.0), 5.0))
+            client = RouterClient(router.address)
+            request_task = asyncio.create_task(client.operators(OperatorsRequest(0, 5.0), 5.0))
             await asyncio.sleep(0.3)
-            await link.close()
-            assert await asyncio.wait_for(asking, 2.0) is None
+            await client.close()
+            assert await asyncio.wait_for(request_task, 2.0) is None
 
     asyncio.run(scenario())
 
