--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -19,7 +19,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 
-GIVEN = {
+RAW_SETTINGS = {
     "node_name": "box-1",
     "ip": "10.1.0.40",
     "zone": "hall-a",
@@ -32,7 +32,7 @@
 
 
 def test_settings_are_read_with_unknown_fields_passed_over():
-    boot = parse_boot_settings(GIVEN, 7700).unwrap()
+    boot = parse_boot_settings(RAW_SETTINGS, 7700).unwrap()
     assert boot.table_address == "10.200.1.7:8007"
     assert boot.settings.data_hall == "hall-a" and boot.settings.stop_s == 8.0
     assert boot.settings.freshness.keyed_s < 5.0 and boot.settings.freshness.ready_s < 3.0
@@ -40,28 +40,31 @@
 
 
 def test_without_strict_revocation_keys_hold_while_the_table_service_is_away():
-    given = GIVEN | {"bounds": {"strict_revoke": False}}
-    assert parse_boot_settings(given, 0).unwrap().settings.freshness.keyed_s == float("inf")
+    raw_settings = RAW_SETTINGS | {"bounds": {"strict_revoke": False}}
+    assert parse_boot_settings(raw_settings, 0).unwrap().settings.freshness.keyed_s == float("inf")
 
 
 def test_other_boxes_reach_a_box_at_the_last_of_its_free_ports():
-    given = GIVEN | {"internal_ports": [7700, 7715], "limits": {"cpu_share": 0.7, "cpu_cores": 3}}
-    settings = parse_boot_settings(given, 0).unwrap().settings
+    raw_settings = RAW_SETTINGS | {
+        "internal_ports": [7700, 7715],
+        "limits": {"cpu_share": 0.7, "cpu_cores": 3},
+    }
+    settings = parse_boot_settings(raw_settings, 0).unwrap().settings
     assert settings.peer_address == f"{settings.ip}:7715"
     assert round(settings.cores, 3) == 2.1 and settings.link_mbps == 1_000.0
-    assert parse_boot_settings(GIVEN, 0).unwrap().settings.peer_address == ""
-    for wrong in ([7700], "7700", [7700, 0], [7700, "x"], [True, 7715]):
-        mistakes = parse_boot_settings(GIVEN | {"internal_ports": wrong}, 0).unwrap_err()
+    assert parse_boot_settings(RAW_SETTINGS, 0).unwrap().settings.peer_address == ""
+    for invalid_ports in ([7700], "7700", [7700, 0], [7700, "x"], [True, 7715]):
+        mistakes = parse_boot_settings(RAW_SETTINGS | {"internal_ports": invalid_ports}, 0).unwrap_err()
         assert [mistake.path for mistake in mistakes] == ["$.internal_ports"]
 
 
 def test_every_mistake_in_the_settings_is_named_at_once():
-    given = {
+    raw_settings = {
         "node_name": "",
         "listen": {"front": "nowhere"},
         "bounds": {"grace_s": "long", "strict_revoke": 1},
     }
-    mistakes = {mistake.path for mistake in parse_boot_settings(given, 0).err_value}
+    mistakes = {mistake.path for mistake in parse_boot_settings(raw_settings, 0).err_value}
     assert mistakes == {
         "$.node_name",
         "$.ip",
@@ -145,6 +148,8 @@
     deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     role = deploy["roles"]["box"]
     assert role["run"].startswith("python3 -m stairquay box") and role["serves"] == ["edge"]
-    wanted = {line.partition("==")[0] for line in (ROOT / "deploy" / "requirements.txt").read_text().split()}
-    assert {"aiohttp", "msgspec", "absl-py", "cyclopts", "prometheus_client"} <= wanted
-    assert not isinstance(parse_boot_settings(GIVEN, 7700), Err)
+    required_packages = {
+        line.partition("==")[0] for line in (ROOT / "deploy" / "requirements.txt").read_text().split()
+    }
+    assert {"aiohttp", "msgspec", "absl-py", "cyclopts", "prometheus_client"} <= required_packages
+    assert not isinstance(parse_boot_settings(RAW_SETTINGS, 7700), Err)
