--- a/tests/test_routers.py
+++ b/tests/test_routers.py
@@ -22,8 +22,8 @@
 HALLS = ("hall-a", "hall-b", "hall-c")
 
 
-def boxes(count: int, halls: tuple[str, ...] = HALLS, room: float = 0.2) -> list[Member]:
-    return [Member(f"b{n}", f"10.0.0.{n}:1", room, halls[n % len(halls)]) for n in range(count)]
+def boxes(count: int, halls: tuple[str, ...] = HALLS, box_capacity: float = 0.2) -> list[Member]:
+    return [Member(f"b{n}", f"10.0.0.{n}:1", box_capacity, halls[n % len(halls)]) for n in range(count)]
 
 
 def test_a_lone_box_routes_for_itself_and_of_a_few_two_at_least_do():
@@ -72,18 +72,18 @@
 @given(st.integers(0, 70), st.integers(2, 7), st.sampled_from((HALLS, ("hall-a",), ("hall-z",))))
 def test_every_engine_has_exactly_one_router_and_none_has_more_than_an_even_share(engines, count, halls):
     routers = boxes(count)
-    known = [Engine(f"e{n}", halls[n % len(halls)]) for n in range(engines)]
-    shares = [engines_of(router.id, known, routers) for router in routers]
-    assert sorted(name for share in shares for name in share) == sorted(engine.id for engine in known)
+    all_engines = [Engine(f"e{n}", halls[n % len(halls)]) for n in range(engines)]
+    shares = [engines_of(router.id, all_engines, routers) for router in routers]
+    assert sorted(name for share in shares for name in share) == sorted(engine.id for engine in all_engines)
     if halls == ("hall-z",):
         assert max(map(len, shares)) <= ceil(engines / count)
     if halls == HALLS:
         for hall in HALLS:
-            inside = [
+            hall_shares = [
                 share for router, share in zip(routers, shares, strict=True) if router.data_hall == hall
             ]
-            of_hall = sum(engine.data_hall == hall for engine in known)
-            assert not inside or sum(map(len, inside)) >= of_hall
+            hall_engines = sum(engine.data_hall == hall for engine in all_engines)
+            assert not hall_shares or sum(map(len, hall_shares)) >= hall_engines
 
 
 def test_where_engines_are_few_only_some_routers_place_and_the_next_takes_over():
@@ -98,10 +98,10 @@
 
 def test_the_engines_of_a_router_that_is_gone_are_shared_out():
     routers = boxes(3)
-    known = [Engine(f"e{n}", HALLS[n % 3]) for n in range(30)]
-    left = [engines_of(router.id, known, routers[1:]) for router in routers[1:]]
-    assert sum(map(len, left)) == 30 and min(map(len, left)) >= 13
-    assert engines_of(routers[0].id, known, routers[1:]) == frozenset()
+    all_engines = [Engine(f"e{n}", HALLS[n % 3]) for n in range(30)]
+    remaining_shares = [engines_of(router.id, all_engines, routers[1:]) for router in routers[1:]]
+    assert sum(map(len, remaining_shares)) == 30 and min(map(len, remaining_shares)) >= 13
+    assert engines_of(routers[0].id, all_engines, routers[1:]) == frozenset()
 
 
 def test_capacity_is_bound_by_what_a_box_has_least_of():
