--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,14 +16,14 @@
 from stairquay.core.row import Row
 
 NODES = 330
-RUNNERS = 1_800
+ENGINES = 1_800
 WORKSPACES = 820
 CHANGES = 5_300
-RUNNERS_A_MODEL = RUNNERS // 17
+ENGINES_PER_MODEL = ENGINES // 17
 COSTS = EngineCosts()
 
 
-def routers(count):
+def node_names(count):
     return [f"node-{number}" for number in range(count)]
 
 
@@ -32,51 +32,55 @@
 
 
 def test_families_spread_over_the_nodes_and_a_lost_node_moves_only_its_own():
-    nodes = routers(NODES)
+    nodes = node_names(NODES)
     owners = [rank_owners(family(number), nodes)[0] for number in range(6_600)]
-    most = max(Counter(owners).values())
-    assert most < 2.5 * len(owners) / NODES
-    rest = nodes[1:]
-    moved = [before for number, before in enumerate(owners) if rank_owners(family(number), rest)[0] != before]
-    assert set(moved) == {nodes[0]}
+    max_owned = max(Counter(owners).values())
+    assert max_owned < 2.5 * len(owners) / NODES
+    remaining_nodes = nodes[1:]
+    old_owners_of_moved = [
+        old_owner
+        for number, old_owner in enumerate(owners)
+        if rank_owners(family(number), remaining_nodes)[0] != old_owner
+    ]
+    assert set(old_owners_of_moved) == {nodes[0]}
 
 
 def test_a_data_hall_lost_leaves_its_families_spread_over_all_others():
-    nodes = routers(NODES)
-    gone = set(nodes[: NODES // 8])
-    rest = [node for node in nodes if node not in gone]
-    heirs = Counter()
+    nodes = node_names(NODES)
+    lost_nodes = set(nodes[: NODES // 8])
+    remaining_nodes = [node for node in nodes if node not in lost_nodes]
+    new_owner_counts = Counter()
     for number in range(4_000):
         order = rank_owners(family(number), nodes)
-        if order[0] in gone:
-            heirs[rank_owners(family(number), rest)[0]] += 1
-    assert sum(heirs.values()) > 350 and max(heirs.values()) < 12
+        if order[0] in lost_nodes:
+            new_owner_counts[rank_owners(family(number), remaining_nodes)[0]] += 1
+    assert sum(new_owner_counts.values()) > 350 and max(new_owner_counts.values()) < 12
 
 
-def placed(policy, router_count=40, prompts=5):
+def count_placements(policy, router_count=40, prompts=5):
     """Return how many prompts each of a model's runners gets while all see one stale report."""
-    chance = Random(5)
-    taken = Counter()
+    rng = Random(5)
+    prompt_counts = Counter()
     for _ in range(router_count):
-        loads = {f"r{number}": EndpointLoad() for number in range(RUNNERS_A_MODEL)}
+        loads = {f"r{number}": EndpointLoad() for number in range(ENGINES_PER_MODEL)}
         for number, load in enumerate(loads.values()):
             load.on_report(LoadReport(taken_at=0.0, queued_tokens=5_000 + number * 10), 0.1)
         for _ in range(prompts):
-            seen = [
+            candidates = [
                 Candidate(name, "v", load.queued_tokens(0.1, COSTS.prefill_tokens_s))
                 for name, load in loads.items()
             ]
-            decision = policy(Demand(8_000, 0.8), seen, COSTS, chance)
+            decision = policy(Demand(8_000, 0.8), candidates, COSTS, rng)
             loads[decision.endpoint].on_sent(decision.missing_tokens, 0.1)
-            taken[decision.endpoint] += 1
-    return taken
+            prompt_counts[decision.endpoint] += 1
+    return prompt_counts
 
 
 def test_routers_with_the_same_stale_report_do_not_pile_on_one_runner():
-    ours, herd = placed(choose), placed(least_loaded)
-    assert max(herd.values()) >= 40
-    assert max(ours.values()) <= 10
-    assert len(herd) == 5 and len(ours) > 45
+    choose_counts, least_loaded_counts = count_placements(choose), count_placements(least_loaded)
+    assert max(least_loaded_counts.values()) >= 40
+    assert max(choose_counts.values()) <= 10
+    assert len(least_loaded_counts) == 5 and len(choose_counts) > 45
 
 
 def test_the_nodes_together_keep_a_workspace_within_its_limit():
@@ -94,7 +98,7 @@
     queue = FairQueue(16, max_wait_s=6.0, mean_slot_s=0.1)
     flood = Workspace("flood", weight=4.0)
     refused = sum(isinstance(queue.offer(flood), Refusal) for _ in range(5_000))
-    mine = {queue.offer(Workspace(f"w{number}")).number for number in range(WORKSPACES - 1)}
+    other_tickets = {queue.offer(Workspace(f"w{number}")).number for number in range(WORKSPACES - 1)}
     granted = []
     while len(granted) < 1_100:
         ticket = queue.grant()
@@ -103,54 +107,56 @@
             continue
         granted.append(ticket.number)
     assert refused > 3_000
-    assert mine <= set(granted)
+    assert other_tickets <= set(granted)
     assert len(queue.finish_tags) <= 20
 
 
 def test_the_budget_bounds_attempts_at_every_share_of_failures():
-    chance = Random(2)
-    for failing in (0.1, 0.5, 1.0):
+    rng = Random(2)
+    for failure_rate in (0.1, 0.5, 1.0):
         budget = RetryBudget()
         attempts = 0
         for _ in range(10_000):
             budget.on_request()
             attempts += 1
-            while chance.random() < failing and budget.take():
+            while rng.random() < failure_rate and budget.take():
                 attempts += 1
-        assert attempts <= 11_010, failing
+        assert attempts <= 11_010, failure_rate
 
 
-def boxes_of(state_by_number, as_of):
+def box_list(state_of, as_of):
     rows = [
-        Box(f"r{number}", BoxKind.ENGINE, {"http": "192.0.2.1:1"}, "", state_by_number(number), "1")
-        for number in range(RUNNERS)
+        Box(f"r{number}", BoxKind.ENGINE, {"http": "192.0.2.1:1"}, "", state_of(number), "1")
+        for number in range(ENGINES)
     ]
     return BoxList(as_of, tuple(rows))
 
 
 def test_no_leaving_runner_of_1800_is_usable_whoever_says_so():
     membership = Membership()
-    membership.on_list(boxes_of(lambda number: BoxState.LEAVING if number < 21 else BoxState.LIVE, 2))
+    membership.on_list(box_list(lambda number: BoxState.LEAVING if number < 21 else BoxState.LIVE, 2))
     for number in range(21, 211):
         membership.on_leaving(f"r{number}", "1")
-    assert not membership.on_list(boxes_of(lambda _: BoxState.LIVE, 1))
-    usable = [number for number in range(RUNNERS) if membership.usable(f"r{number}") is not None]
-    assert usable == list(range(211, RUNNERS))
+    assert not membership.on_list(box_list(lambda _: BoxState.LIVE, 1))
+    usable = [number for number in range(ENGINES) if membership.usable(f"r{number}") is not None]
+    assert usable == list(range(211, ENGINES))
 
 
 def test_a_days_changes_reach_the_same_state_by_whatever_deltas():
-    chance = Random(9)
-    rows = [Row(f"config/workspace/{chance.randrange(WORKSPACES)}", str(n), n) for n in range(1, CHANGES + 1)]
+    rng = Random(9)
+    rows = [Row(f"config/workspace/{rng.randrange(WORKSPACES)}", str(n), n) for n in range(1, CHANGES + 1)]
     expected = {row.key: row for row in rows}
     for _ in range(20):
-        held = Configuration()
-        while held.revision < CHANGES:
-            upto = min(CHANGES, held.revision + chance.randrange(1, 900))
-            offered = {row.key: row for row in rows[held.revision : upto]}
-            if chance.random() < 0.3:
-                held = merge(held, tuple(rows[: upto // 2]), upto // 2)
-            held = merge(held, tuple(offered.values()), upto)
-        assert held.rows_by_key == expected
+        configuration = Configuration()
+        while configuration.revision < CHANGES:
+            target_revision = min(CHANGES, configuration.revision + rng.randrange(1, 900))
+            changed_rows = {row.key: row for row in rows[configuration.revision : target_revision]}
+            if rng.random() < 0.3:
+                configuration = merge(
+                    configuration, tuple(rows[: target_revision // 2]), target_revision // 2
+                )
+            configuration = merge(configuration, tuple(changed_rows.values()), target_revision)
+        assert configuration.rows_by_key == expected
 
 
 def test_a_new_owner_learns_kept_context_from_the_catalogues_alone():
@@ -167,9 +173,9 @@
 
 
 def test_a_restarted_runner_leaves_nothing_behind():
-    memories = EngineCaches()
+    caches = EngineCaches()
     for number in range(200):
-        memories.of(f"r{number}").touch(f"{number}-{block}" for block in range(100))
-    memories.reset("r7")
-    assert memories.of("r7").prefix_length(("7-0",)) == 0
-    assert memories.of("r8").prefix_length(("8-0", "8-1")) == 2
+        caches.of(f"r{number}").touch(f"{number}-{block}" for block in range(100))
+    caches.reset("r7")
+    assert caches.of("r7").prefix_length(("7-0",)) == 0
+    assert caches.of("r8").prefix_length(("8-0", "8-1")) == 2
