--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -43,7 +43,7 @@
 INTENTS = sorted((ROOT / "examples").glob("*/intents.json"))
 
 
-def stairquay(*args):
+def run_stairquay(*args):
     """Run a command as in a shell; return (exit status, output, complaints)."""
     env = Environment(io.StringIO(), io.StringIO(), io.StringIO(), {})
     status = main([str(arg) for arg in args], env)
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda path: path.parent.name)
 def test_example_settings_hold_no_mistake(path):
-    status, output, _ = stairquay("check-settings", path)
+    status, output, _ = run_stairquay("check-settings", path)
     assert status == ExitStatus.SUCCESS
     assert "no mistakes" in output
 
@@ -83,7 +83,7 @@
         "entry": {"listen": "0.0.0.0:1", "metrics": "0.0.0.0:2"},
         }"""
     )
-    status, _, complaints = stairquay("check-settings", path)
+    status, _, errors = run_stairquay("check-settings", path)
     assert status == ExitStatus.BAD_SETTINGS
     for expected in (
         "$.box.id: expected a string, not 7",
@@ -92,7 +92,7 @@
         "$.view.seeds: expected a list, not 'all'",
         "$.entry.router: required, but missing",
     ):
-        assert f"{path}: {expected}" in complaints
+        assert f"{path}: {expected}" in errors
 
 
 def test_rules_beyond_types_are_listed_together():
@@ -115,18 +115,18 @@
 def test_a_program_without_its_section_does_not_start(tmp_path):
     path = tmp_path / "box.json"
     path.write_text(json.dumps({"box": {"id": "a"}, "platform": {"url": "http://192.0.2.1"}}))
-    status, _, complaints = stairquay("entry", path)
+    status, _, errors = run_stairquay("entry", path)
     assert status == ExitStatus.BAD_SETTINGS
-    assert "$.entry: required by this program, but missing" in complaints
+    assert "$.entry: required by this program, but missing" in errors
 
 
 def test_unknown_commands_and_missing_arguments():
-    assert stairquay("sail")[0] == ExitStatus.USAGE
-    assert stairquay("entry")[0] == ExitStatus.USAGE
+    assert run_stairquay("sail")[0] == ExitStatus.USAGE
+    assert run_stairquay("entry")[0] == ExitStatus.USAGE
 
 
 def test_a_new_key_comes_with_its_hash():
-    status, output, _ = stairquay("key", "--json")
+    status, output, _ = run_stairquay("key", "--json")
     made = json.loads(output)
     assert status == ExitStatus.SUCCESS
     assert made["key"].startswith("sq-") and len(made["hash"]) == 64
@@ -136,19 +136,19 @@
     page = (ROOT / "docs" / "SETTINGS.md").read_text()
     rows = [line.split("|")[1:3] for line in page.splitlines() if line.startswith("| `")]
     documented = {key.strip(" `"): default.strip() for keys, default in rows for key in keys.split(",")}
-    expected = dict(keys_of(Settings, ""))
+    expected = dict(plain_keys(Settings, ""))
     assert set(documented) == set(expected)
     for key, default in expected.items():
         if default is not MISSING and not isinstance(default, str | tuple):
             assert documented[key] == json.dumps(default), key
 
 
-def keys_of(kind, prefix):
+def plain_keys(settings_class, prefix):
     """Yield (path, default) of every plain key below a settings class."""
-    for field in fields(kind):
+    for field in fields(settings_class):
         section = next((item for item in SECTIONS if item.__name__ in str(field.type)), None)
         path = f"{prefix}{field.name}"
         if section is not None:
-            yield from keys_of(section, path + ".")
+            yield from plain_keys(section, path + ".")
         else:
             yield path, field.default
