--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -5,19 +5,21 @@
 
 from stairquay.box import parse_plain_box_command
 
-LOAD = """
+PRINT_LOADED_MODULES = """
 import stairquay.box
 import stairquay.platform.boot, stairquay.platform.surroundings, stairquay.serving.app
 import sys
 print(*sys.modules)
 """
 
-NOT_NEEDED = {"cyclopts", "cattrs", "json5", "stairquay.cli", "stairquay.adapters.settings"}
+UNNEEDED_MODULES = {"cyclopts", "cattrs", "json5", "stairquay.cli", "stairquay.adapters.settings"}
 
 
 def test_a_box_does_not_load_what_it_does_not_need():
-    done = subprocess.run([sys.executable, "-c", LOAD], capture_output=True, text=True, check=True)
-    assert not NOT_NEEDED & set(done.stdout.split())
+    done = subprocess.run(
+        [sys.executable, "-c", PRINT_LOADED_MODULES], capture_output=True, text=True, check=True
+    )
+    assert not UNNEEDED_MODULES & set(done.stdout.split())
 
 
 def test_the_usual_arguments_start_a_box_and_all_others_go_to_the_command_line():
