--- a/tests/test_two_boxes.py
+++ b/tests/test_two_boxes.py
@@ -6,7 +6,7 @@
 from tests.site import Site, eventually
 
 
-def routed_by(here: Site, call_id: str) -> str:
+def placing_router(here: Site, call_id: str) -> str:
     return here.logged("sent", request=call_id)[0]["router"]
 
 
@@ -19,13 +19,13 @@
             assert (await first.prompt(call_id="call-2")).status == 200
             await eventually(lambda: second.logged("sent", request="call-1"))
             await eventually(lambda: first.logged("sent", request="call-2"))
-            assert routed_by(second, "call-1") == routed_by(first, "call-2") == FIRST
+            assert placing_router(second, "call-1") == placing_router(first, "call-2") == FIRST
             first.box.kill()
             await first.box.wait()
             for number in range(4):
                 assert (await second.prompt(call_id=f"after-{number}")).status == 200
             await eventually(lambda: second.logged("sent", request="after-3"))
-            assert routed_by(second, "after-3") == SECOND
+            assert placing_router(second, "after-3") == SECOND
             assert second.logged("dependency", name=f"router {FIRST}", outcome="lost")
 
     asyncio.run(scenario())
