--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -13,15 +13,15 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-AT_ONCE = 3
-COPIED = ("stairquay", "tests", "features", "pyproject.toml")
+MAX_PARALLEL = 3
+COPIED_PATHS = ("stairquay", "tests", "features", "pyproject.toml")
 
 
 @dataclass(frozen=True)
 class Mechanism:
     """`before` in `file` is replaced by `after`; then scenarios named like `scenario` must fail."""
 
-    point: str
+    area: str
     name: str
     file: str
     before: str
@@ -257,11 +257,11 @@
 ]
 
 
-def show(mechanism: Mechanism) -> tuple[Mechanism, str]:
+def find_failing_step(mechanism: Mechanism) -> tuple[Mechanism, str]:
     """Return the line with which a scenario fails without a mechanism; empty where none does."""
     with tempfile.TemporaryDirectory() as name:
         copy = Path(name)
-        for item in COPIED:
+        for item in COPIED_PATHS:
             source = ROOT / item
             if source.is_dir():
                 shutil.copytree(source, copy / item, ignore=shutil.ignore_patterns("__pycache__"))
@@ -282,11 +282,11 @@
 
 def main() -> int:
     """Print a row a mechanism; return 1 where the absence of one went unnoticed."""
-    wanted = [item for item in MECHANISMS if len(sys.argv) < 2 or sys.argv[1] in item.name]
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        rows = list(pool.map(show, wanted))
+    selected = [item for item in MECHANISMS if len(sys.argv) < 2 or sys.argv[1] in item.name]
+    with ThreadPoolExecutor(MAX_PARALLEL) as pool:
+        rows = list(pool.map(find_failing_step, selected))
     for mechanism, line in rows:
-        print(f"| {mechanism.point} | {mechanism.name} | {mechanism.scenario} | {line or 'NOT NOTICED'} |")
+        print(f"| {mechanism.area} | {mechanism.name} | {mechanism.scenario} | {line or 'NOT NOTICED'} |")
     unnoticed = [mechanism for mechanism, line in rows if not line]
     print(f"{len(rows) - len(unnoticed)} noticed, {len(unnoticed)} not")
     return 1 if unnoticed else 0
