--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The one binary, built and run as an operator would."""
+"""The single-file binary, built and run as an operator would."""
 
 import os
 import subprocess
--- a/tests/test_box.py
+++ b/tests/test_box.py
@@ -1,4 +1,4 @@
-"""A whole box against stand-ins of the users' platform: callers' requests, refusals and streams."""
+"""Requests, refusals and streams through one box, run as a process against stand-ins of the platform."""
 
 import asyncio
 
@@ -80,7 +80,7 @@
     calls: list[tuple[float, int]] = []
 
     async def call_until(here: Site, end: float) -> None:
-        """Send requests that fail everywhere, and note when each ended and how often it was sent again."""
+        """Send requests that every endpoint fails; record when each ended and how often it was retried."""
         while asyncio.get_running_loop().time() < end:
             before = sum(len(item.taken) for item in here.endpoints)
             await here.call("/plain/x", call_id=f"c-{len(calls)}")
--- a/tests/test_box_state.py
+++ b/tests/test_box_state.py
@@ -1,4 +1,4 @@
-"""A whole box against stand-ins of the platform: configuration, endpoints, outages, settings, logs."""
+"""Configuration, endpoint list, outages, settings and log of one box, against stand-ins of the platform."""
 
 import asyncio
 import signal
@@ -240,8 +240,7 @@
 
 EVENTS_TESTED_ELSEWHERE = {"dependency", "freed", "reload", "part_failed", "left_out", "router", "waits"}
 EVENTS_TESTED_ELSEWHERE |= {"evacuation", "born_anew", "crashed", "quarantine"}
-"""Kinds of lines that other tests provoke: outages, replaced weights, settings, failing parts, floods, many
-boxes, bursts, data halls that get nothing, endpoints that start again, requests that crash endpoints."""
+"""Log events that other tests cover."""
 
 LOG_KEYS_BY_EVENT = {
     "start": {"front"},
--- a/tests/test_box_weights.py
+++ b/tests/test_box_weights.py
@@ -1,4 +1,4 @@
-"""A whole box against stand-ins of the platform: weights, orders and kept context."""
+"""Weight versions, rollout orders and stored blocks in one box, against stand-ins of the platform."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 async def store_part(here: Site) -> StoreBox:
-    """Have the first store box keep a part, and wait until the box has read what it keeps."""
+    """Store a prompt part in the first store box, and wait until the box under test has read its index."""
     store = here.stores[0]
     store.keep(SCOPE, "aa", 500)
     await eventually(lambda: here.logged("store_view", outcome="read"))
@@ -163,7 +163,7 @@
             assert (await here.prompt(call_id="first")).status == 200
             for engine in here.engines():
                 engine.silent = True
-            # The engine that keeps the prompt is chosen again.
+            # The engine with the prompt in its cache is chosen again.
             caching_engine = next(engine for engine in here.engines() if engine.taken)
             caching_engine.version = 3
             for number in range(6):
--- a/tests/test_boxes.py
+++ b/tests/test_boxes.py
@@ -1,4 +1,4 @@
-"""`stairquay boxes`: what an engineer sees of a whole fleet."""
+"""The command `stairquay boxes`: the status of a fleet as printed for an engineer."""
 
 import asyncio
 import io
@@ -98,7 +98,7 @@
     async def scenario():
         async with site() as here:
             await wait_for_own_row(here)
-            # 127.0.0.2 is this machine, too, but no box listens there.
+            # Nothing listens on 127.0.0.2, which is a loopback address.
             silent_row = {"beat": 9, "address": "127.0.0.2:1", "capacity": 9.0, "data_hall": "hall-b"}
             here.table.put(OWN_TABLE, KEY_PREFIX + "gone@127.0.0.2", silent_row)
             here.table.put(OWN_TABLE, KEY_PREFIX + "odd@127.0.0.2", {"beat": "many"})
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""A program's following, when a library cancels a call by itself or does not end one."""
+"""Refresh rounds go on when a library cancels a call by itself or never returns from one."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,11 +7,11 @@
 from stairquay.adapters.program import wait_until
 
 ROUND_TIMEOUT_S = 0.2
-"""Seconds that a round may take here; long enough for a busy machine."""
+"""Timeout of a round; long enough on a busy machine."""
 
 
 class Channels:
-    """Channels whose only stub's calls are cancelled as when their channel is closed."""
+    """Stand-in of RPC channels: calls hang, or are cancelled as when their channel is closed."""
 
     def __init__(self, hang: bool = False) -> None:
         self.hang = hang
@@ -44,7 +44,7 @@
 
 
 def count_rounds(first_round: Callable[[], Awaitable[None]]) -> int:
-    """Return how many rounds a program begins whose first round does that."""
+    """Return how many rounds `follow` starts after the given first one."""
 
     async def scenario() -> int:
         rounds = 0
--- a/tests/test_idle_box.py
+++ b/tests/test_idle_box.py
@@ -1,4 +1,4 @@
-"""What a box costs while nothing changes: how often timers wake it."""
+"""How often timers wake an idle box."""
 
 import asyncio
 from random import Random
@@ -24,14 +24,14 @@
 from tests.states import box_state
 
 SETTLE_S = 2.0
-"""Seconds for the first heartbeats, after which the parts of a box have nothing more to do."""
+"""Time for the first heartbeats, after which the background tasks are idle."""
 
 MEASURED_S = 4.0
 MAX_WAKEUPS_PER_S = 2.0
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
-    """Counts the timers that fire."""
+    """An event loop that counts the timers that fire."""
 
     fired_timers = 0
 
@@ -44,7 +44,7 @@
 
 
 class IdleFeeds:
-    """A table service in which nothing changes: its questions are held, and wake nobody."""
+    """A table service without changes: long polls stay open."""
 
     async def read_operators(self):
         return Ok(OperatorChanges(1, True, Catalog(1)))
@@ -60,7 +60,7 @@
 
 
 class IdleCrashRows:
-    """Rows about crashes, of which there are none."""
+    """An empty table of crash rows."""
 
     async def read(self):
         return Ok(Changes(1, ()))
@@ -73,7 +73,7 @@
 
 
 class BoxRows:
-    """The boxes' rows: those of others, one of which routes for all, so that this box is an ordinary one."""
+    """Rows of other boxes, with routers among them, so that the box under test is an ordinary one."""
 
     def __init__(self) -> None:
         router = '{"beat": 1, "address": "127.0.0.1:9", "capacity": 1.0, "data_hall": "hall-a"}'
@@ -93,7 +93,7 @@
 
 
 def wakeups_per_second(settings: BoxSettings) -> float:
-    """Run the parts of a box that serves nobody, and count how often timers wake it."""
+    """Run the background tasks of a box without requests, and return how often timers wake it."""
     loop = CountingLoop()
 
     async def scenario() -> float:
@@ -112,7 +112,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         assert not ended
-        # One of them ended this wait.
+        # One of the timers ended the sleep above.
         return (loop.fired_timers - before - 1) / MEASURED_S
 
     try:
@@ -128,7 +128,7 @@
 
 
 OPEN_REQUESTS = 200
-"""Questions held by one of the two boxes that follow the table service for some 200 others."""
+"""Long polls that a router holds open."""
 
 
 def test_a_held_question_costs_one_timer():
@@ -147,7 +147,7 @@
         return loop.fired_timers - before
 
     try:
-        # Timers may come a moment early, and are then set once more.
+        # A timer that fires early is set once more.
         assert loop.run_until_complete(scenario()) <= 2 * OPEN_REQUESTS
     finally:
         loop.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's dialect: settings, what is written into the table, and where its names may stand."""
+"""The platform adapter: boot settings, rows of the table, and which modules may use wire names."""
 
 import json
 import re
--- a/tests/test_regress.py
+++ b/tests/test_regress.py
@@ -1,4 +1,4 @@
-"""What the regression runs make of a day's report."""
+"""How the regression runs parse a day's report and compare it with the table."""
 
 from bench.regress import MOST_LOSS, compare, read_report
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and the command line, as a person would use them."""
+"""Settings files and the command line."""
 
 import io
 import json
@@ -44,7 +44,7 @@
 
 
 def run_stairquay(*args):
-    """Run a command as in a shell; return (exit status, output, complaints)."""
+    """Run a command; return its exit status, standard output and standard error."""
     env = Environment(io.StringIO(), io.StringIO(), io.StringIO(), {})
     status = main([str(arg) for arg in args], env)
     return status, env.stdout.getvalue(), env.stderr.getvalue()
@@ -144,7 +144,7 @@
 
 
 def plain_keys(settings_class, prefix):
-    """Yield (path, default) of every plain key below a settings class."""
+    """Yield the path and default of every key of a settings class that is no section."""
     for field in fields(settings_class):
         section = next((item for item in SECTIONS if item.__name__ in str(field.type)), None)
         path = f"{prefix}{field.name}"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a box loads when it starts: hundreds of boxes start together after a loss of power."""
+"""Modules that a box imports at start; fewer imports make a restart of many boxes faster."""
 
 import subprocess
 import sys
