--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -1,7 +1,7 @@
-"""Takes away one mechanism at a time, on a scratch copy, and shows the scenario that then fails.
+"""Mutation test: disables one mechanism at a time in a scratch copy and runs the scenario that covers it.
 
-`python -m tests.mechanisms` prints a row each: what was taken away, the scenario, and its failing line.
-A mechanism whose absence no scenario notices is an error.
+`python -m tests.mechanisms [NAME]` prints a row for each: the mechanism, the scenario and its failing step.
+A scenario that passes without its mechanism is an error.
 """
 
 import shutil
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Mechanism:
-    """`before` in `file` is replaced by `after`; then scenarios named like `scenario` must fail."""
+    """Replaces `before` with `after` in `file`, upon which scenarios named like `scenario` must fail."""
 
     area: str
     name: str
@@ -258,7 +258,7 @@
 
 
 def find_failing_step(mechanism: Mechanism) -> tuple[Mechanism, str]:
-    """Return the line with which a scenario fails without a mechanism; empty where none does."""
+    """Return the step that fails without a mechanism, or an empty string if none does."""
     with tempfile.TemporaryDirectory() as name:
         copy = Path(name)
         for item in COPIED_PATHS:
@@ -269,19 +269,19 @@
                 shutil.copy(source, copy / item)
         path = copy / mechanism.file
         text = path.read_text()
-        assert mechanism.before in text, f"{mechanism.name}: the text is gone from {mechanism.file}"
+        assert mechanism.before in text, f"{mechanism.name}: text not found in {mechanism.file}"
         path.write_text(text.replace(mechanism.before, mechanism.after))
         command = [sys.executable, "-m", "behave", "--stop", "-f", "plain", "-n", mechanism.scenario]
         done = subprocess.run(command, cwd=copy, capture_output=True, text=True)
     for line in done.stdout.splitlines():
         if " ... failed" in line or " ... error" in line:
             return mechanism, line.strip().partition(" ... ")[0]
-    assert "0 scenarios passed" not in done.stdout, f"no scenario is named {mechanism.scenario}"
+    assert "0 scenarios passed" not in done.stdout, f"no scenario named {mechanism.scenario}"
     return mechanism, ""
 
 
 def main() -> int:
-    """Print a row a mechanism; return 1 where the absence of one went unnoticed."""
+    """Print a row for each mechanism; return 1 if a scenario passes without its mechanism."""
     selected = [item for item in MECHANISMS if len(sys.argv) < 2 or sys.argv[1] in item.name]
     with ThreadPoolExecutor(MAX_PARALLEL) as pool:
         rows = list(pool.map(find_failing_step, selected))
