--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-LEFT_OUT = shutil.ignore_patterns(
+IGNORED_FILES = shutil.ignore_patterns(
     ".venv", ".git", "journal", "target", "__pycache__", "*.egg-info", "build", "dist"
 )
 
@@ -138,15 +138,15 @@
     if len(arguments) != 2 or arguments[0] not in SWITCHES:
         print("usage: python -m bench.ablation [NAME FOLDER]", file=sys.stderr)
         return 2
-    return _write(SWITCHES[arguments[0]], Path(arguments[1]))
+    return _write_copy(SWITCHES[arguments[0]], Path(arguments[1]))
 
 
-def _write(switch: Switch, folder: Path) -> int:
+def _write_copy(switch: Switch, folder: Path) -> int:
     source = (ROOT / switch.file).read_text()
     if source.count(switch.before) != 1:
         print(f"{switch.file} does not have this once: {switch.before}", file=sys.stderr)
         return 1
-    shutil.copytree(ROOT, folder, ignore=LEFT_OUT)
+    shutil.copytree(ROOT, folder, ignore=IGNORED_FILES)
     (folder / switch.file).write_text(source.replace(switch.before, switch.after))
     return 0
 
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -19,7 +19,7 @@
 import psutil
 
 from bench.deploy import Variant, start
-from bench.trace import HSITA, Words
+from bench.trace import HSITA, TextGenerator
 from stairquay.core.identity import identify_prompt, workspace_key
 from stairquay.core.models import EngineCosts
 from stairquay.core.residency import EngineCaches, Segment, StoredBlockIndex
@@ -53,13 +53,13 @@
     cluster = start(HSITA, Variant("cost", boxes=1), sys.executable)
     try:
         url = f"http://127.0.0.1:{cluster.boxes['box-1'].entry}"
-        words = Words()
+        text_generator = TextGenerator()
 
         async def send(count: int, prompt_tokens: int, answer_tokens: int, streams: int) -> None:
             semaphore = asyncio.Semaphore(streams)
 
             async def send_one(number: int) -> None:
-                text = words.text(f"{prompt_tokens} {number % 10}", prompt_tokens)
+                text = text_generator.text(f"{prompt_tokens} {number % 10}", prompt_tokens)
                 body = {**chat(text, True, answer_tokens), "model": HSITA.service}
                 async with semaphore:
                     outcome = await send_chat(url, API_KEY, body)
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -10,19 +10,19 @@
 import time
 
 from bench.deploy import link_bytes
-from bench.trace import HSITA, Words
+from bench.trace import HSITA, TextGenerator
 from stairquay.core.models import BoxKind
 from tests.launcher import Cluster, hash_key
 from tests.session import Outcome, send_chat
 
 ENGINES = [f"advisor-{number}" for number in range(1, 4)]
 CONVERSATIONS = 8
-CROWD = 18
+EVICTING_PROMPTS = 18
 TOKENS = 8_000
 ANSWER_TOKENS = 12
 COSTS = {"prefill_tokens_s": 10_000, "decode_step_s": 0.01, "link_bytes_s": 4e9, "slots": 16}
-MEMORY_TOKENS = 40_000
-EXPORT_LIMIT_S = 10.0
+CACHE_TOKENS = 40_000
+EXPORT_TIMEOUT_S = 10.0
 
 
 def main() -> None:
@@ -31,19 +31,19 @@
     print("starting a platform, 3 engines, 2 store boxes, and 2 boxes of entry, router and control ...")
     cluster = Cluster(python=sys.executable)
     try:
-        build(cluster)
-        asyncio.run(show(cluster))
+        start_system(cluster)
+        asyncio.run(measure_returning_prompts(cluster))
     finally:
         cluster.stop()
     print(f"all stopped after {time.monotonic() - started:.0f} s")
 
 
-def build(cluster: Cluster) -> None:
+def start_system(cluster: Cluster) -> None:
     """Start and configure the system through its own intent API."""
     cluster.overrides = {"router.keep.export_delay_s": 0.1, "router.keep.export_link_share": 1.0}
     cluster.platform()
     for name in ENGINES:
-        cluster.engine(name, cache_tokens=MEMORY_TOKENS, prefill_tokens_s=10_000, decode_step_s=0.01)
+        cluster.engine(name, cache_tokens=CACHE_TOKENS, prefill_tokens_s=10_000, decode_step_s=0.01)
     for name in HSITA.stores:
         cluster.store(name, link_bytes_s=COSTS["link_bytes_s"])
     cluster.add_boxes("box-1", "box-2")
@@ -69,21 +69,21 @@
     cluster.until_in_force("box-1", revision, 20)
 
 
-async def show(cluster: Cluster) -> None:
+async def measure_returning_prompts(cluster: Cluster) -> None:
     """Send, crowd out, send again; print a table."""
-    words = Words()
-    mine = [words.text(f"mine {number}", TOKENS) for number in range(CONVERSATIONS)]
-    others = [words.text(f"other {number}", TOKENS) for number in range(CROWD)]
-    print(f"{CONVERSATIONS} conversations of {TOKENS} tokens; each engine's memory holds {MEMORY_TOKENS}")
+    text_generator = TextGenerator()
+    conversations = [text_generator.text(f"mine {number}", TOKENS) for number in range(CONVERSATIONS)]
+    evicting = [text_generator.text(f"other {number}", TOKENS) for number in range(EVICTING_PROMPTS)]
+    print(f"{CONVERSATIONS} conversations of {TOKENS} tokens; each engine's memory holds {CACHE_TOKENS}")
     before = link_bytes(cluster, HSITA)
-    cold = await send_all(cluster, mine)
-    rows = [row("cold", cold, link_bytes(cluster, HSITA) - before)]
-    await exported(cluster)
-    await send_all(cluster, others)
-    await exported(cluster)
+    cold = await send_all(cluster, conversations)
+    rows = [format_row("cold", cold, link_bytes(cluster, HSITA) - before)]
+    await wait_for_exports(cluster)
+    await send_all(cluster, evicting)
+    await wait_for_exports(cluster)
     before = link_bytes(cluster, HSITA)
-    returned = await send_all(cluster, mine, follow_up=True)
-    rows.append(row("returned", returned, link_bytes(cluster, HSITA) - before))
+    returned = await send_all(cluster, conversations, follow_up=True)
+    rows.append(format_row("returned", returned, link_bytes(cluster, HSITA) - before))
     print(f"{'':<10}{'first token, median':>22}{'slowest':>10}{'recomputed':>13}{'link':>10}")
     print("\n".join(rows))
 
@@ -104,16 +104,16 @@
     return outcomes
 
 
-async def exported(cluster: Cluster) -> None:
+async def wait_for_exports(cluster: Cluster) -> None:
     """Wait until the links have been still for a moment."""
     moved = -1
-    end = time.monotonic() + EXPORT_LIMIT_S
+    end = time.monotonic() + EXPORT_TIMEOUT_S
     while moved != link_bytes(cluster, HSITA) and time.monotonic() < end:
         moved = link_bytes(cluster, HSITA)
         await asyncio.sleep(1.0)
 
 
-def row(name: str, outcomes: list[Outcome], moved: int) -> str:
+def format_row(name: str, outcomes: list[Outcome], moved: int) -> str:
     """Return a line of the table."""
     times = [outcome.first_s for outcome in outcomes]
     tokens = sum(outcome.prompt_tokens for outcome in outcomes)
--- a/bench/deploy.py
+++ b/bench/deploy.py
@@ -19,7 +19,7 @@
     name: str
     overrides: dict[str, Any] = field(default_factory=dict)
     event_loss: float = 0.0
-    slow_link: float = 1.0
+    link_speed: float = 1.0
     dead_store: bool = False
     lag_factor: float = 1.0
     boxes: int = 2
@@ -59,15 +59,15 @@
     cluster.until(lambda: cluster.ready("box-1", "control"), 20, "control")
     revision = cluster.apply("box-1", intents(deployment, engines))
     cluster.until_in_force("box-1", revision, 20)
-    cluster.until(lambda: polled(cluster), 10, "engines polled")
+    cluster.until(lambda: all_polled(cluster), 10, "engines polled")
     for name in deployment.stores:
-        cluster.fault(name, link_factor=variant.slow_link)
+        cluster.fault(name, link_factor=variant.link_speed)
     if variant.dead_store:
         cluster.processes[deployment.stores[0]].kill()
     return cluster
 
 
-def polled(cluster: Cluster) -> bool:
+def all_polled(cluster: Cluster) -> bool:
     status = cluster.control("box-1", "GET", "/v1/status").json()
     return all(item["age_s"] >= 0 for item in status["endpoints"])
 
@@ -100,7 +100,7 @@
         "timeout_s": 60.0,
         "costs": costs,
     }
-    found = [
+    objects = [
         {"kind": "service", "id": deployment.service, "value": service},
         {"kind": "version", "id": f"{deployment.service}/v1"},
         {"kind": "placement", "id": deployment.service, "value": {"version": "v1"}},
@@ -113,15 +113,15 @@
             "max_in_flight": 5_000,
             "weight": 4.0 if share > 0.1 else 1.0,
         }
-        found.append({"kind": "workspace", "id": name, "value": value})
-    return found
+        objects.append({"kind": "workspace", "id": name, "value": value})
+    return objects
 
 
 def link_bytes(cluster: Cluster, deployment: Deployment) -> int:
     """Return the bytes that the store boxes' links have moved."""
-    living = [name for name in deployment.stores if cluster.processes[name].alive()]
-    return sum(cluster.audit(name)["moved"] for name in living)
+    running = [name for name in deployment.stores if cluster.processes[name].alive()]
+    return sum(cluster.audit(name)["moved"] for name in running)
 
 
-def described(deployment: Deployment) -> dict[str, Any]:
+def deployment_fields(deployment: Deployment) -> dict[str, Any]:
     return asdict(deployment)
--- a/bench/load.py
+++ b/bench/load.py
@@ -10,12 +10,12 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout, TCPConnector
 from hdrh.histogram import HdrHistogram
 
-from bench.trace import SMALL, Turn, Words, messages
+from bench.trace import SMALL_WORKSPACES, TextGenerator, Turn, messages
 
 LOWEST_US, HIGHEST_US, DIGITS = 1, 120_000_000, 3
-LIMIT_S = 60.0
-TRIES = 3
-REFUSED = (429, 503)
+TIMEOUT_S = 60.0
+MAX_ATTEMPTS = 3
+RETRYABLE_STATUSES = (429, 503)
 
 
 def histogram() -> HdrHistogram:
@@ -26,20 +26,20 @@
 class Tally:
     """What one group of requests saw."""
 
-    first_us: HdrHistogram = field(default_factory=histogram)
-    between_us: HdrHistogram = field(default_factory=histogram)
+    first_byte_us: HdrHistogram = field(default_factory=histogram)
+    token_interval_us: HdrHistogram = field(default_factory=histogram)
     prompt_tokens: int = 0
     cached_tokens: int = 0
     answered: int = 0
     refused: Counter = field(default_factory=Counter)
 
-    def row(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """Return the figures; times are milliseconds."""
-        quantiles = {f"p{q}": self.first_us.get_value_at_percentile(q) / 1000 for q in (50, 95, 99)}
+        quantiles = {f"p{q}": self.first_byte_us.get_value_at_percentile(q) / 1000 for q in (50, 95, 99)}
         recomputed = 1 - self.cached_tokens / max(1, self.prompt_tokens)
         return {
             **quantiles,
-            "between_p95": self.between_us.get_value_at_percentile(95) / 1000,
+            "between_p95": self.token_interval_us.get_value_at_percentile(95) / 1000,
             "recomputed": recomputed,
             "answered": self.answered,
             "refused": dict(self.refused),
@@ -53,7 +53,7 @@
     status: int = 0
     first_at: float = 0.0
     tail: bytes = b""
-    come_back_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
 @dataclass
@@ -63,32 +63,32 @@
     urls: list[str]
     service: str
     answer_tokens: int
-    counted_from: float
-    whole: Tally = field(default_factory=Tally)
+    warmup_s: float
+    overall: Tally = field(default_factory=Tally)
     by_workspace: dict[str, Tally] = field(default_factory=dict)
     returned: Tally = field(default_factory=Tally)
     cold: Tally = field(default_factory=Tally)
     small: Tally = field(default_factory=Tally)
-    given_up: set[int] = field(default_factory=set)
+    abandoned: set[int] = field(default_factory=set)
 
     async def run(self, turns: list[Turn]) -> None:
         """Send every turn when it is due, whatever became of those before."""
-        words = Words()
-        timeout = ClientTimeout(total=LIMIT_S)
+        text_generator = TextGenerator()
+        timeout = ClientTimeout(total=TIMEOUT_S)
         async with ClientSession(timeout=timeout, connector=TCPConnector(limit=0)) as session:
             started = time.monotonic()
             tasks = []
             for number, turn in enumerate(turns):
-                body = self.body(turn, words)
+                body = self.body(turn, text_generator)
                 await asyncio.sleep(max(0.0, started + turn.at - time.monotonic()))
                 url = self.urls[number % len(self.urls)]
                 tasks.append(asyncio.create_task(self.send(session, url, turn, body)))
             await asyncio.gather(*tasks)
 
-    def body(self, turn: Turn, words: Words) -> bytes:
+    def body(self, turn: Turn, text_generator: TextGenerator) -> bytes:
         value = {
             "model": self.service,
-            "messages": messages(turn, words),
+            "messages": messages(turn, text_generator),
             "stream": True,
             "max_tokens": self.answer_tokens,
             "stream_options": {"include_usage": True},
@@ -100,28 +100,28 @@
 
         A conversation that was given up has no later turns: its caller never got the answer.
         """
-        if turn.conversation in self.given_up:
+        if turn.conversation in self.abandoned:
             return
         started = time.monotonic()
-        for number in range(TRIES):
-            answer = await self.call(session, url, turn, body)
-            if answer.status not in REFUSED or number + 1 == TRIES:
+        for number in range(MAX_ATTEMPTS):
+            answer = await self.send_once(session, url, turn, body)
+            if answer.status not in RETRYABLE_STATUSES or number + 1 == MAX_ATTEMPTS:
                 break
-            await asyncio.sleep(answer.come_back_s)
+            await asyncio.sleep(answer.retry_after_s)
         if answer.status != 200:
-            self.given_up.add(turn.conversation)
-        if turn.at >= self.counted_from:
-            first_s = answer.first_at - started
-            self.note(turn, answer.status, first_s, time.monotonic() - answer.first_at, answer.tail)
+            self.abandoned.add(turn.conversation)
+        if turn.at >= self.warmup_s:
+            first_byte_s = answer.first_at - started
+            self.record(turn, answer.status, first_byte_s, time.monotonic() - answer.first_at, answer.tail)
 
-    async def call(self, session: ClientSession, url: str, turn: Turn, body: bytes) -> Reply:
+    async def send_once(self, session: ClientSession, url: str, turn: Turn, body: bytes) -> Reply:
         """Send a turn once."""
         headers = {"Authorization": f"Bearer key-{turn.workspace}", "Content-Type": "application/json"}
         reply = Reply()
         try:
             async with session.post(url + "/v1/chat/completions", data=body, headers=headers) as response:
                 reply.status = response.status
-                reply.come_back_s = int(response.headers.get("Retry-After-Ms", "0")) / 1000
+                reply.retry_after_s = int(response.headers.get("Retry-After-Ms", "0")) / 1000
                 async for part in response.content.iter_any():
                     reply.first_at = reply.first_at or time.monotonic()
                     reply.tail = (reply.tail + part)[-2_000:]
@@ -129,24 +129,24 @@
             reply.status = 0
         return reply
 
-    def note(self, turn: Turn, status: int, first_s: float, rest_s: float, tail: bytes) -> None:
-        tallies = [self.whole, self.by_workspace.setdefault(turn.workspace, Tally())]
+    def record(self, turn: Turn, status: int, first_byte_s: float, stream_s: float, tail: bytes) -> None:
+        tallies = [self.overall, self.by_workspace.setdefault(turn.workspace, Tally())]
         tallies.append(self.returned if turn.number else self.cold)
-        if turn.workspace in SMALL:
+        if turn.workspace in SMALL_WORKSPACES:
             tallies.append(self.small)
-        usage = read_usage(tail) if status == 200 else None
+        usage = parse_usage(tail) if status == 200 else None
         for tally in tallies:
             if usage is None:
                 tally.refused[refusal_code(status, tail)] += 1
                 continue
             tally.answered += 1
-            tally.first_us.record_value(max(1, int(first_s * 1e6)))
-            tally.between_us.record_value(max(1, int(rest_s * 1e6 / self.answer_tokens)))
+            tally.first_byte_us.record_value(max(1, int(first_byte_s * 1e6)))
+            tally.token_interval_us.record_value(max(1, int(stream_s * 1e6 / self.answer_tokens)))
             tally.prompt_tokens += usage["prompt_tokens"]
             tally.cached_tokens += usage["prompt_tokens_details"]["cached_tokens"]
 
 
-def read_usage(tail: bytes) -> dict | None:
+def parse_usage(tail: bytes) -> dict | None:
     """Return the usage figures at the end of a whole stream."""
     if not tail.endswith(b"data: [DONE]\n\n"):
         return None
--- a/bench/run.py
+++ b/bench/run.py
@@ -16,13 +16,13 @@
 
 from absl import flags
 
-from bench.deploy import Variant, described, link_bytes, start
+from bench.deploy import Variant, deployment_fields, link_bytes, start
 from bench.load import Replay
-from bench.trace import DEPLOYMENTS, first_token_floor, flood, generate, perfect_recomputed
+from bench.trace import DEPLOYMENTS, first_token_floor, flood, generate, optimal_recomputed_share
 from stairquay.core.identity import BLOCK_TOKENS
 
 RESULTS = Path(__file__).resolve().parent / "results"
-COUNTED_FROM = 0.45
+WARMUP_SHARE = 0.45
 """Share of the trace at its start that fills caches and is not counted."""
 
 FLAGS = flags.FLAGS
@@ -33,54 +33,59 @@
 flags.DEFINE_list("only", [], "variants to run, all by default")
 
 
-def policy(name: str, **more: Any) -> Variant:
+def routing_baseline(name: str, **options: Any) -> Variant:
     """Return a routing baseline; nothing is kept in store boxes, as nothing would be brought back."""
-    return Variant(name, {"router.policy": name, "router.keep.policy": "nothing"}, **more)
+    return Variant(name, {"router.policy": name, "router.keep.policy": "nothing"}, **options)
 
 
-ROUTING = [Variant("stairquay"), policy("round-robin"), policy("least-loaded"), policy("prefix-affinity")]
+ROUTING = [
+    Variant("stairquay"),
+    routing_baseline("round-robin"),
+    routing_baseline("least-loaded"),
+    routing_baseline("prefix-affinity"),
+]
 
 
-def disturbed(**faults: Any) -> list[Variant]:
-    return [Variant("stairquay", **faults), policy("prefix-affinity", **faults)]
+def with_faults(**faults: Any) -> list[Variant]:
+    return [Variant("stairquay", **faults), routing_baseline("prefix-affinity", **faults)]
 
 
-SLOW = 0.25
+SLOW_ENGINE_SPEED = 0.25
 """Engines' speed in the overload comparisons, so that they, not this machine, are the limit."""
 
 CAPACITY_RATE = 0.75
 """Factor on the trace's rate that slow engines can just carry; see docs/MEASUREMENTS.md."""
 
-CALM_RATE = 0.35
+LOW_RATE = 0.35
 
-CROWDED = Variant("", rate=1.7, store_share=0.4)
+SMALL_STORES = Variant("", rate=1.7, store_share=0.4)
 """Store boxes too small for all that is exported."""
 
 KEEP_ALL_LRU = {"router.keep.policy": "all", "router.keep.eviction": "least-recently-used"}
 
 COMPARISONS: dict[str, list[Variant]] = {
     "routing": ROUTING,
-    "slow-link": disturbed(slow_link=0.1),
-    "dead-store": disturbed(dead_store=True),
-    "lagging": disturbed(event_loss=0.3, lag_factor=5.0),
+    "slow-link": with_faults(link_speed=0.1),
+    "dead-store": with_faults(dead_store=True),
+    "lagging": with_faults(event_loss=0.3, lag_factor=5.0),
     "busy": [replace(variant, rate=1.7) for variant in ROUTING],
     "overload": [
-        Variant(f"{factor:g} times capacity", rate=factor * CAPACITY_RATE, engine_speed=SLOW)
+        Variant(f"{factor:g} times capacity", rate=factor * CAPACITY_RATE, engine_speed=SLOW_ENGINE_SPEED)
         for factor in (1, 1.5, 2, 4)
     ],
     "fairness": [
-        Variant("calm", rate=CALM_RATE, engine_speed=SLOW),
-        Variant("one large workspace floods", rate=CALM_RATE, engine_speed=SLOW, flood=2.0),
+        Variant("calm", rate=LOW_RATE, engine_speed=SLOW_ENGINE_SPEED),
+        Variant("one large workspace floods", rate=LOW_RATE, engine_speed=SLOW_ENGINE_SPEED, flood=2.0),
     ],
     "export-share": [
         Variant(f"share {share:g}", {"router.keep.export_link_share": share}, rate=1.7)
         for share in (0.15, 0.3, 0.6, 1.0)
     ],
     "keeping": [
-        replace(CROWDED, name="expected-saving"),
-        replace(CROWDED, name="all", overrides={"router.keep.policy": "all"}),
-        replace(CROWDED, name="all, least recently used", overrides=KEEP_ALL_LRU),
-        replace(CROWDED, name="nothing", overrides={"router.keep.policy": "nothing"}),
+        replace(SMALL_STORES, name="expected-saving"),
+        replace(SMALL_STORES, name="all", overrides={"router.keep.policy": "all"}),
+        replace(SMALL_STORES, name="all, least recently used", overrides=KEEP_ALL_LRU),
+        replace(SMALL_STORES, name="nothing", overrides={"router.keep.policy": "nothing"}),
     ],
 }
 
@@ -96,28 +101,28 @@
 
 def measure(deployment_name: str, variant: Variant, seed: int, seconds: float, rate: float) -> Run:
     """Run one variant on one seed in a system of its own."""
-    known = DEPLOYMENTS[deployment_name]
-    deployment = replace(known, prefill_tokens_s=known.prefill_tokens_s * variant.engine_speed)
+    base = DEPLOYMENTS[deployment_name]
+    deployment = replace(base, prefill_tokens_s=base.prefill_tokens_s * variant.engine_speed)
     turns = generate(deployment, seed, seconds, rate * variant.rate)
     if variant.flood:
         turns += flood(deployment, seed, seconds, rate * variant.flood)
         turns.sort(key=lambda turn: turn.at)
-    counted_from = seconds * COUNTED_FROM
-    floors = sorted(first_token_floor(turns, deployment, counted_from))
+    warmup_s = seconds * WARMUP_SHARE
+    floors = sorted(first_token_floor(turns, deployment, warmup_s))
     cluster = start(deployment, variant, sys.executable)
     try:
         urls = [f"http://127.0.0.1:{ports.entry}" for ports in cluster.boxes.values()]
-        replay = Replay(urls, deployment.service, deployment.answer_tokens, counted_from)
+        replay = Replay(urls, deployment.service, deployment.answer_tokens, warmup_s)
         asyncio.run(replay.run(turns))
         figures = {
-            **replay.whole.row(),
-            "returned": replay.returned.row(),
-            "cold": replay.cold.row(),
-            "workspaces": {key: item.row() for key, item in sorted(replay.by_workspace.items())},
+            **replay.overall.summary(),
+            "returned": replay.returned.summary(),
+            "cold": replay.cold.summary(),
+            "workspaces": {key: item.summary() for key, item in sorted(replay.by_workspace.items())},
             "link_gb": link_bytes(cluster, deployment) / 1e9,
-            "small": replay.small.row(),
-            "answered_s": replay.whole.answered / (seconds - counted_from),
-            "perfect": perfect_recomputed(turns, counted_from, BLOCK_TOKENS),
+            "small": replay.small.summary(),
+            "answered_s": replay.overall.answered / (seconds - warmup_s),
+            "perfect": optimal_recomputed_share(turns, warmup_s, BLOCK_TOKENS),
             "floor_p95": floors[int(len(floors) * 0.95)] * 1000,
             "turns": len(turns),
         }
@@ -129,7 +134,7 @@
         cluster.stop()
 
 
-def table(runs: list[Run]) -> list[str]:
+def format_table(runs: list[Run]) -> list[str]:
     """Return the medians over the seeds, with the lowest and highest."""
     lines = [
         "variant                    first token ms: p50 / p95 (min-max) / p99"
@@ -166,48 +171,48 @@
     from matplotlib import pyplot
 
     names = list(dict.fromkeys(run.variant for run in runs))
-    figure, sides = pyplot.subplots(1, 2, figsize=(11, 4))
-    for side, key, label in (
-        (sides[0], "p95", "first token p95, ms"),
-        (sides[1], "recomputed", "share recomputed"),
+    figure, axes = pyplot.subplots(1, 2, figsize=(11, 4))
+    for axis, key, label in (
+        (axes[0], "p95", "first token p95, ms"),
+        (axes[1], "recomputed", "share recomputed"),
     ):
-        for place, name in enumerate(names):
+        for position, name in enumerate(names):
             values = [run.figures[key] for run in runs if run.variant == name]
-            side.bar(place, statistics.median(values), color="tab:blue")
-            side.plot([place] * len(values), values, "k.")
-        side.set_xticks(range(len(names)), names, rotation=20, fontsize=8)
-        side.set_ylabel(label)
+            axis.bar(position, statistics.median(values), color="tab:blue")
+            axis.plot([position] * len(values), values, "k.")
+        axis.set_xticks(range(len(names)), names, rotation=20, fontsize=8)
+        axis.set_ylabel(label)
     figure.suptitle(title)
     figure.tight_layout()
     figure.savefig(path, dpi=90)
 
 
-def commit_name() -> str:
-    done = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True)
-    return done.stdout.strip() or "unknown"
+def commit_hash() -> str:
+    completed = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True)
+    return completed.stdout.strip() or "unknown"
 
 
-def compare(comparison: str, deployment: str) -> None:
+def run_comparison(comparison: str, deployment: str) -> None:
     """Run one comparison, print its table, and write its files."""
     variants = [item for item in COMPARISONS[comparison] if not FLAGS.only or item.name in FLAGS.only]
     seeds = range(1, FLAGS.repeats + 1)
     with ProcessPoolExecutor(FLAGS.at_once) as pool:
-        started = [
+        futures = [
             pool.submit(measure, deployment, variant, seed, FLAGS.seconds, FLAGS.rate)
             for seed in seeds
             for variant in variants
         ]
-        runs = [item.result() for item in started]
+        runs = [item.result() for item in futures]
     title = (
-        f"{comparison} at {deployment}, rate x{FLAGS.rate:g}, {FLAGS.repeats} seeds, commit {commit_name()}"
+        f"{comparison} at {deployment}, rate x{FLAGS.rate:g}, {FLAGS.repeats} seeds, commit {commit_hash()}"
     )
     print(title)
-    print("\n".join(table(runs)), flush=True)
+    print("\n".join(format_table(runs)), flush=True)
     RESULTS.mkdir(exist_ok=True)
     stem = f"{comparison}-{deployment}" + ("" if FLAGS.rate == 1.0 else f"-x{FLAGS.rate:g}")
     value = {
         "title": title,
-        "deployment": described(DEPLOYMENTS[deployment]),
+        "deployment": deployment_fields(DEPLOYMENTS[deployment]),
         "runs": [{"variant": run.variant, "seed": run.seed, **run.figures} for run in runs],
     }
     (RESULTS / f"{stem}.json").write_text(json.dumps(value, indent=1))
@@ -215,10 +220,10 @@
 
 
 def main() -> None:
-    rest = FLAGS(sys.argv)[1:]
-    if len(rest) != 2 or rest[0] not in COMPARISONS or rest[1] not in DEPLOYMENTS:
+    arguments = FLAGS(sys.argv)[1:]
+    if len(arguments) != 2 or arguments[0] not in COMPARISONS or arguments[1] not in DEPLOYMENTS:
         sys.exit(f"usage: make bench BENCH='COMPARISON DEPLOYMENT'; {list(COMPARISONS)}; {list(DEPLOYMENTS)}")
-    compare(rest[0], rest[1])
+    run_comparison(arguments[0], arguments[1])
 
 
 if __name__ == "__main__":
--- a/bench/trace.py
+++ b/bench/trace.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 
 SCALE = 10.0
-CHARS_TOKEN = 4
+CHARS_PER_TOKEN = 4
 
 
 @dataclass(frozen=True)
@@ -85,8 +85,8 @@
 DEPLOYMENTS = {item.name: item for item in (HSITA, LAKESHORE)}
 
 WORKSPACES = tuple(f"space-{number}" for number in range(10))
-SMALL = frozenset(WORKSPACES[3:])
-FLOOD_FROM = 0.4
+SMALL_WORKSPACES = frozenset(WORKSPACES[3:])
+FLOOD_START_SHARE = 0.4
 """Share of the trace after which a flood begins."""
 
 WORKSPACE_SHARES = (0.25, 0.2, 0.2, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05)
@@ -106,84 +106,90 @@
 
 
 @dataclass
-class Words:
+class TextGenerator:
     """Text of a given number of tokens, the same for the same seed."""
 
-    chance: random.Random = field(default_factory=random.Random)
+    rng: random.Random = field(default_factory=random.Random)
 
     def text(self, seed: str, tokens: int) -> str:
-        self.chance.seed(seed)
-        length = tokens * CHARS_TOKEN
-        return "".join(f"{self.chance.getrandbits(60):015x} " for _ in range(length // 16 + 1))[:length]
+        self.rng.seed(seed)
+        length = tokens * CHARS_PER_TOKEN
+        return "".join(f"{self.rng.getrandbits(60):015x} " for _ in range(length // 16 + 1))[:length]
 
 
-def messages(turn: Turn, words: Words) -> list[dict[str, str]]:
+def messages(turn: Turn, text_generator: TextGenerator) -> list[dict[str, str]]:
     """Return a turn's messages: the shared part, then the conversation so far."""
-    found = [{"role": "system", "content": words.text(f"system {turn.workspace}", turn.shared)}]
+    chat_messages = [
+        {"role": "system", "content": text_generator.text(f"system {turn.workspace}", turn.shared)}
+    ]
     for number, size in enumerate(turn.sizes):
         if number:
-            found.append({"role": "assistant", "content": words.text(f"{turn.conversation}a{number}", 60)})
-        found.append({"role": "user", "content": words.text(f"{turn.conversation}u{number}", size)})
-    return found
+            chat_messages.append(
+                {"role": "assistant", "content": text_generator.text(f"{turn.conversation}a{number}", 60)}
+            )
+        chat_messages.append(
+            {"role": "user", "content": text_generator.text(f"{turn.conversation}u{number}", size)}
+        )
+    return chat_messages
 
 
 def generate(deployment: Deployment, seed: int, duration_s: float, rate_factor: float = 1.0) -> list[Turn]:
     """Return the turns of `duration_s` scaled seconds, in order of time."""
-    chance = random.Random(f"{deployment.name} {seed}")
+    rng = random.Random(f"{deployment.name} {seed}")
     turns_per_conversation = 1 + (1 - deployment.one_off_share) * (deployment.mean_turns - 1)
     rate = deployment.turn_rate * rate_factor * SCALE / turns_per_conversation
-    warm_s = 4 * deployment.median_gap_s / SCALE
+    lead_in_s = 4 * deployment.median_gap_s / SCALE
     turns: list[Turn] = []
-    at = -warm_s
+    at = -lead_in_s
     conversation = 0
     while at < duration_s:
-        at += chance.expovariate(rate * _burst(deployment, at / duration_s))
+        at += rng.expovariate(rate * _burst_factor(deployment, at / duration_s))
         conversation += 1
-        turns += _conversation(deployment, chance, conversation, at)
+        turns += _conversation_turns(deployment, rng, conversation, at)
     return sorted((turn for turn in turns if 0 <= turn.at < duration_s), key=lambda turn: turn.at)
 
 
 def flood(deployment: Deployment, seed: int, duration_s: float, rate_factor: float) -> list[Turn]:
     """Return turns of one large workspace only, for the middle part of a trace."""
     turns = generate(deployment, seed + 1_000, duration_s, rate_factor)
-    middle = [turn for turn in turns if turn.at >= duration_s * FLOOD_FROM]
+    middle = [turn for turn in turns if turn.at >= duration_s * FLOOD_START_SHARE]
     return [replace(turn, workspace=WORKSPACES[0], conversation=-turn.conversation) for turn in middle]
 
 
-def first_token_floor(turns: list[Turn], deployment: Deployment, counted_from: float) -> list[float]:
+def first_token_floor(turns: list[Turn], deployment: Deployment, warmup_s: float) -> list[float]:
     """Return the scaled seconds that an idle engine needs for what each turn adds to those before it."""
     seen: set[int] = set()
     floors = []
     for turn in turns:
-        fresh = turn.sizes[-1] if turn.conversation in seen else sum(turn.sizes)
+        new_tokens = turn.sizes[-1] if turn.conversation in seen else sum(turn.sizes)
         seen.add(turn.conversation)
-        if turn.at >= counted_from:
-            floors.append(fresh / (deployment.prefill_tokens_s * SCALE))
+        if turn.at >= warmup_s:
+            floors.append(new_tokens / (deployment.prefill_tokens_s * SCALE))
     return floors
 
 
-def _burst(deployment: Deployment, share: float) -> float:
+def _burst_factor(deployment: Deployment, share: float) -> float:
     for start, end, factor in deployment.bursts:
         if start <= share < end:
             return factor
     return 1.0
 
 
-def _conversation(deployment: Deployment, chance: random.Random, number: int, at: float) -> list[Turn]:
-    workspace = chance.choices(WORKSPACES, WORKSPACE_SHARES)[0]
-    one_off = chance.random() < deployment.one_off_share
-    count = 1 if one_off else 2 + int(chance.expovariate(1 / (deployment.mean_turns - 1.5)))
+def _conversation_turns(deployment: Deployment, rng: random.Random, number: int, at: float) -> list[Turn]:
+    workspace = rng.choices(WORKSPACES, WORKSPACE_SHARES)[0]
+    one_off = rng.random() < deployment.one_off_share
+    count = 1 if one_off else 2 + int(rng.expovariate(1 / (deployment.mean_turns - 1.5)))
     sizes: list[int] = []
     turns = []
     for turn in range(count):
         median = deployment.first_tokens if turn == 0 else deployment.turn_tokens
-        sizes.append(int(median * math.exp(chance.gauss(0, 0.5))))
+        sizes.append(int(median * math.exp(rng.gauss(0, 0.5))))
         turns.append(Turn(at, workspace, number, turn, tuple(sizes), deployment.shared_tokens))
-        at += deployment.median_gap_s * math.exp(chance.gauss(0, 0.7)) / SCALE
+        at += deployment.median_gap_s * math.exp(rng.gauss(0, 0.7)) / SCALE
     return turns
 
 
-def perfect_recomputed(turns: list[Turn], counted_from: float, block_tokens: int) -> float:
+def optimal_recomputed_share(turns: list[Turn], warmup_s: float, block_tokens: int) -> float:
     """Return the recomputed share of a router that knows all, with caches that hold all.
 
     What a conversation's prompt shares with what came before in it, or in its workspace, counts as
@@ -195,11 +201,11 @@
     total = 0
     for turn in turns:
         tokens = turn.shared + sum(turn.sizes) + 60 * (len(turn.sizes) - 1)
-        held = seen.get(turn.conversation, turn.shared if turn.workspace in shared_seen else 0)
-        reused = min(held, tokens - 1) // block_tokens * block_tokens
+        cached_tokens = seen.get(turn.conversation, turn.shared if turn.workspace in shared_seen else 0)
+        reused = min(cached_tokens, tokens - 1) // block_tokens * block_tokens
         shared_seen.add(turn.workspace)
         seen[turn.conversation] = tokens
-        if turn.at >= counted_from:
+        if turn.at >= warmup_s:
             computed += tokens - reused
             total += tokens
     return computed / max(1, total)
