--- a/bench/load.py
+++ b/bench/load.py
@@ -51,7 +51,7 @@
     """One answer; `first_at` is the monotonic time of its first byte."""
 
     status: int = 0
-    first_at: float = 0.0
+    first_byte_at: float = 0.0
     tail: bytes = b""
     retry_after_s: float = 0.0
 
@@ -111,8 +111,10 @@
         if answer.status != 200:
             self.abandoned.add(turn.conversation)
         if turn.at >= self.warmup_s:
-            first_byte_s = answer.first_at - started
-            self.record(turn, answer.status, first_byte_s, time.monotonic() - answer.first_at, answer.tail)
+            first_byte_s = answer.first_byte_at - started
+            self.record(
+                turn, answer.status, first_byte_s, time.monotonic() - answer.first_byte_at, answer.tail
+            )
 
     async def send_once(self, session: ClientSession, url: str, turn: Turn, body: bytes) -> Reply:
         """Send a turn once."""
@@ -123,7 +125,7 @@
                 reply.status = response.status
                 reply.retry_after_s = int(response.headers.get("Retry-After-Ms", "0")) / 1000
                 async for part in response.content.iter_any():
-                    reply.first_at = reply.first_at or time.monotonic()
+                    reply.first_byte_at = reply.first_byte_at or time.monotonic()
                     reply.tail = (reply.tail + part)[-2_000:]
         except (ClientError, asyncio.TimeoutError):
             reply.status = 0
--- a/bench/regress.py
+++ b/bench/regress.py
@@ -15,17 +15,17 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-TABLE = Path(__file__).parent / "results" / "regress.json"
+BASELINE_FILE = Path(__file__).parent / "results" / "regress.json"
 
-MOST_LOSS = 0.03
+MAX_LOSS = 0.03
 """Worth by which a day may fall: processor time is measured, and single days differ by as much."""
 
-WORTH = re.compile(r"^worth (-?\d+\.\d+) = ", re.M)
-FAULT = re.compile(r"^.*(?:BROKEN|given up|fault).*$", re.M)
+WORTH_LINE = re.compile(r"^worth (-?\d+\.\d+) = ", re.M)
+FAULT_LINE = re.compile(r"^.*(?:BROKEN|given up|fault).*$", re.M)
 
 
 @dataclass(frozen=True)
-class Played:
+class DayResult:
     """One day as played. `faults`: lines that tell of broken rules, or why it did not reach its end."""
 
     key: str
@@ -33,36 +33,36 @@
     faults: tuple[str, ...]
 
 
-def read_report(key: str, text: str) -> Played:
+def parse_report(key: str, text: str) -> DayResult:
     """Return what the report of a day says."""
-    worth = WORTH.search(text)
+    worth = WORTH_LINE.search(text)
     head = text if worth is None else text[: worth.start()]
-    faults = tuple(line.strip() for line in FAULT.findall(head))
-    return Played(key, float(worth[1]) if worth else None, faults)
+    faults = tuple(line.strip() for line in FAULT_LINE.findall(head))
+    return DayResult(key, float(worth[1]) if worth else None, faults)
 
 
-def compare(played: Played, table: dict[str, float]) -> tuple[str, bool]:
+def compare(result: DayResult, baseline: dict[str, float]) -> tuple[str, bool]:
     """Return a line on a day, and whether it holds."""
-    if played.worth is None or played.faults:
-        reason = "; ".join(played.faults) or "not played"
-        return f"{played.key:48} {_number(played.worth)}  FAILED: {reason}", False
-    before = table.get(played.key)
+    if result.worth is None or result.faults:
+        reason = "; ".join(result.faults) or "not played"
+        return f"{result.key:48} {_format_worth(result.worth)}  FAILED: {reason}", False
+    before = baseline.get(result.key)
     if before is None:
-        return f"{played.key:48} {_number(played.worth)}  new", True
-    change = played.worth - before
-    holds = change >= -MOST_LOSS
-    return f"{played.key:48} {_number(played.worth)}  {change:+.3f}{'' if holds else '  FELL'}", holds
+        return f"{result.key:48} {_format_worth(result.worth)}  new", True
+    change = result.worth - before
+    holds = change >= -MAX_LOSS
+    return f"{result.key:48} {_format_worth(result.worth)}  {change:+.3f}{'' if holds else '  FELL'}", holds
 
 
-def _number(worth: float | None) -> str:
+def _format_worth(worth: float | None) -> str:
     return "  -  " if worth is None else f"{worth:.3f}"
 
 
-def play(bench: Path, site: Path, day: str, seed: int, why: str) -> Played:
+def run_day(bench: Path, site: Path, day: str, seed: int, why: str) -> DayResult:
     """Play one day to its end."""
     command = [str(bench), "run", str(site), day, "--seed", str(seed), "--jobs", "1", "--why", why]
     text = subprocess.run(command, capture_output=True, text=True).stdout
-    return read_report(f"{site.stem} {day} {seed}", text)
+    return parse_report(f"{site.stem} {day} {seed}", text)
 
 
 def main() -> int:
@@ -77,19 +77,19 @@
     parser.add_argument("--why", default="regression run", help="a line for the journal")
     parser.add_argument("--write", action="store_true", help="put what was measured into the table")
     args = parser.parse_args()
-    table: dict[str, float] = json.loads(TABLE.read_text()) if TABLE.exists() else {}
+    baseline: dict[str, float] = json.loads(BASELINE_FILE.read_text()) if BASELINE_FILE.exists() else {}
     all_hold = True
     for site in args.sites:
         for day in args.days.split(","):
             for seed in args.seeds.split(","):
-                played = play(args.bench, site, day, int(seed), args.why)
-                line, holds = compare(played, table)
+                result = run_day(args.bench, site, day, int(seed), args.why)
+                line, holds = compare(result, baseline)
                 print(line, flush=True)
                 all_hold = all_hold and holds
-                if args.write and holds and played.worth is not None:
-                    table[played.key] = played.worth
+                if args.write and holds and result.worth is not None:
+                    baseline[result.key] = result.worth
     if args.write:
-        TABLE.write_text(json.dumps(table, indent=1, sort_keys=True) + "\n")
+        BASELINE_FILE.write_text(json.dumps(baseline, indent=1, sort_keys=True) + "\n")
     return 0 if all_hold else 1
 
 
