--- a/features/environment.py
+++ b/features/environment.py
@@ -26,7 +26,7 @@
     context.stores = []
     context.box_names = []
     context.outcomes = []
-    context.named = {}
+    context.results_by_name = {}
     context.pending = {}
 
 
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -9,7 +9,7 @@
 from tests.launcher import http
 from tests.session import all_runs, audit, chat, send_chat, send_plain
 
-LONG = 24_000
+LONG_PROMPT_CHARS = 24_000
 """Characters of a long prompt: 6,000 tokens, 23 blocks."""
 
 
@@ -18,59 +18,65 @@
 
 
 def long_prompt(name):
-    return " ".join(f"{name}-{number}" for number in range(LONG // (len(name) + 6)))
+    return " ".join(f"{name}-{number}" for number in range(LONG_PROMPT_CHARS // (len(name) + 6)))
 
 
-def body_of(name, stream=True, tokens=8, tag="", turns=None):
+def prompt_body(name, stream=True, tokens=8, tag="", turns=None):
     return chat(long_prompt(name), stream, tokens, tag, turns)
 
 
-def note(context, outcome, name=""):
+def record_outcome(context, outcome, name=""):
     context.outcomes.append(outcome)
     context.last = outcome
     if name:
-        context.named[name] = outcome
+        context.results_by_name[name] = outcome
 
 
-def call(context, workspace, box, body, headers=None):
+def send_prompt(context, workspace, box, body, headers=None):
     return send_chat(entry_url(context, box), f"key-{workspace}", body, headers)
 
 
 @when("{workspace:Name} sends the prompt {name:Name} to {box:Name}")
 def _(context, workspace, name, box):
-    note(context, context.loop.run(call(context, workspace, box, body_of(name))), name)
+    record_outcome(context, context.loop.run(send_prompt(context, workspace, box, prompt_body(name))), name)
 
 
 @when("{workspace:Name} sends the prompt {name:Name} to {box:Name} for a whole answer")
 def _(context, workspace, name, box):
-    note(context, context.loop.run(call(context, workspace, box, body_of(name, stream=False))), name)
+    record_outcome(
+        context, context.loop.run(send_prompt(context, workspace, box, prompt_body(name, stream=False))), name
+    )
 
 
 @when("{workspace:Name} sends the prompt {name:Name} to {box:Name}, not repeatable")
 def _(context, workspace, name, box):
     headers = {"Stairquay-Repeatable": "no", "Stairquay-Timeout": "5"}
-    body = body_of(name, tag=f"once-{name}")
-    note(context, context.loop.run(call(context, workspace, box, body, headers)), name)
+    body = prompt_body(name, tag=f"once-{name}")
+    record_outcome(context, context.loop.run(send_prompt(context, workspace, box, body, headers)), name)
 
 
 @when("{workspace:Name} sends the prompt {name:Name} to {box:Name} with the key {key:Name}")
 def _(context, workspace, name, box, key):
     headers = {"Idempotency-Key": key}
-    body = body_of(name, tag=f"once-{key}")
-    note(context, context.loop.run(call(context, workspace, box, body, headers)), name)
+    body = prompt_body(name, tag=f"once-{key}")
+    record_outcome(context, context.loop.run(send_prompt(context, workspace, box, body, headers)), name)
 
 
 @when("{workspace:Name} starts the prompt {name:Name} of {tokens:d} tokens at {box:Name}")
 def _(context, workspace, name, tokens, box):
-    context.pending[name] = context.loop.start(call(context, workspace, box, body_of(name, tokens=tokens)))
+    context.pending[name] = context.loop.start(
+        send_prompt(context, workspace, box, prompt_body(name, tokens=tokens))
+    )
 
 
 @when(
     "{workspace:Name} starts the prompt {name:Name} of {tokens:d} tokens at {box:Name} with the key {key:Name}"
 )
 def _(context, workspace, name, tokens, box, key):
-    body = body_of(name, tokens=tokens, tag=f"once-{key}")
-    context.pending[name] = context.loop.start(call(context, workspace, box, body, {"Idempotency-Key": key}))
+    body = prompt_body(name, tokens=tokens, tag=f"once-{key}")
+    context.pending[name] = context.loop.start(
+        send_prompt(context, workspace, box, body, {"Idempotency-Key": key})
+    )
 
 
 @when("the prompt {name:Name} is answering")
@@ -90,16 +96,16 @@
 @then("the prompt {name:Name} is answered whole")
 def _(context, name):
     if name in context.pending:
-        note(context, context.pending.pop(name).result(40), name)
-    outcome = context.named[name]
+        record_outcome(context, context.pending.pop(name).result(40), name)
+    outcome = context.results_by_name[name]
     assert outcome.answered, f"{outcome} {outcome.body[-400:]!r}"
 
 
 @then("the prompt {name:Name} ends in a clear error, with the run {ran}")
 def _(context, name, ran):
     if name in context.pending:
-        note(context, context.pending.pop(name).result(40), name)
-    outcome = context.named[name]
+        record_outcome(context, context.pending.pop(name).result(40), name)
+    outcome = context.results_by_name[name]
     assert not outcome.whole and outcome.code, outcome
     assert outcome.ran == ran, outcome
 
@@ -140,8 +146,8 @@
 def _(context, workspace, method, path, box):
     url = entry_url(context, box)
     body = b"" if method == "GET" else b"part=7"
-    work = send_plain(url, f"key-{workspace}", method, path, body, {"X-Tag": path})
-    note(context, context.loop.run(work), path)
+    request = send_plain(url, f"key-{workspace}", method, path, body, {"X-Tag": path})
+    record_outcome(context, context.loop.run(request), path)
 
 
 @when("{workspace:Name} calls {method:Name} {path:Name} at {box:Name}, not repeatable")
@@ -149,7 +155,9 @@
     url = entry_url(context, box)
     body = b"" if method == "GET" else b"part=7"
     headers = {"X-Tag": f"once-{path}", "Stairquay-Repeatable": "no"}
-    note(context, context.loop.run(send_plain(url, f"key-{workspace}", method, path, body, headers)), path)
+    record_outcome(
+        context, context.loop.run(send_plain(url, f"key-{workspace}", method, path, body, headers)), path
+    )
 
 
 @when(
@@ -157,8 +165,8 @@
 )
 def _(context, workspace, method, path, box, key, text):
     headers = {"X-Tag": f"once-{key}", "Idempotency-Key": key}
-    work = send_plain(entry_url(context, box), f"key-{workspace}", method, path, text.encode(), headers)
-    note(context, context.loop.run(work), path)
+    request = send_plain(entry_url(context, box), f"key-{workspace}", method, path, text.encode(), headers)
+    record_outcome(context, context.loop.run(request), path)
 
 
 @when(
@@ -173,7 +181,7 @@
         for box in (box_a, box_b)
     ]
     for future in started:
-        note(context, future.result(40))
+        record_outcome(context, future.result(40))
 
 
 @then("exactly {count:d} of them was answered")
@@ -221,29 +229,29 @@
 async def mixed_load(context, seconds, rate):
     import asyncio
 
-    chance = random.Random(11)
+    rng = random.Random(11)
     tasks = []
     end = time.monotonic() + seconds
     number = 0
     while time.monotonic() < end:
         number += 1
-        workspace = chance.choice(["red", "blue"])
-        box = chance.choice(context.box_names)
-        tasks.append(asyncio.create_task(one_call(context, chance, number, workspace, box)))
+        workspace = rng.choice(["red", "blue"])
+        box = rng.choice(context.box_names)
+        tasks.append(asyncio.create_task(send_mixed_request(context, rng, number, workspace, box)))
         await asyncio.sleep(1 / rate)
     return await asyncio.gather(*tasks)
 
 
-async def one_call(context, chance, number, workspace, box):
-    name = f"talk{chance.randrange(12)}"
-    kind = chance.randrange(10)
+async def send_mixed_request(context, rng, number, workspace, box):
+    name = f"talk{rng.randrange(12)}"
+    kind = rng.randrange(10)
     if kind < 6:
-        turns = [f"turn {n}" for n in range(chance.randrange(3))]
-        body = body_of(name, stream=kind < 4, tokens=chance.randrange(4, 30), turns=turns)
-        return await call(context, workspace, box, body)
+        turns = [f"turn {n}" for n in range(rng.randrange(3))]
+        body = prompt_body(name, stream=kind < 4, tokens=rng.randrange(4, 30), turns=turns)
+        return await send_prompt(context, workspace, box, body)
     if kind == 6:
-        body = body_of(name, tag=f"once-load{number}")
-        return await call(context, workspace, box, body, {"Stairquay-Repeatable": "no"})
+        body = prompt_body(name, tag=f"once-load{number}")
+        return await send_prompt(context, workspace, box, body, {"Stairquay-Repeatable": "no"})
     url = entry_url(context, box)
     if kind == 7:
         headers = {"X-Tag": f"once-key{number}", "Idempotency-Key": f"key{number}"}
@@ -264,20 +272,20 @@
 
 @then("every request of it was answered whole")
 def _(context):
-    bad = [item for item in context.outcomes if not (item.status == 200 and item.whole)]
-    assert not bad, f"{len(bad)} of {len(context.outcomes)}: {bad[:3]}"
+    failed = [item for item in context.outcomes if not (item.status == 200 and item.whole)]
+    assert not failed, f"{len(failed)} of {len(context.outcomes)}: {failed[:3]}"
 
 
 @then("at least {share:g} of its requests were answered")
 def _(context, share):
-    good = sum(1 for item in context.outcomes if item.status == 200 and item.whole)
-    assert good >= share * len(context.outcomes), f"{good} of {len(context.outcomes)}"
+    completed = sum(1 for item in context.outcomes if item.status == 200 and item.whole)
+    assert completed >= share * len(context.outcomes), f"{completed} of {len(context.outcomes)}"
 
 
 @then("the audit finds nothing")
 def _(context):
-    found = audit(context.cluster, context.engines, context.plain, context.outcomes)
-    assert not found, "\n".join(found)
+    violations = audit(context.cluster, context.engines, context.plain, context.outcomes)
+    assert not violations, "\n".join(violations)
 
 
 @then("{name:Name} gets no new run in the next {seconds:g} s of load")
@@ -323,17 +331,17 @@
 @when("{workspace:Name} calls GET {path:Name} at {box:Name} under the name of {other:Name}")
 def _(context, workspace, path, box, other):
     headers = {"x-stairquay-workspace": other, "x-request-id": "mine"}
-    work = send_plain(entry_url(context, box), f"key-{workspace}", "GET", path, headers=headers)
-    note(context, context.loop.run(work), path)
+    request = send_plain(entry_url(context, box), f"key-{workspace}", "GET", path, headers=headers)
+    record_outcome(context, context.loop.run(request), path)
 
 
 @then("the plain service was told of {workspace:Name} alone")
 def _(context, workspace):
     seen = json.loads(context.last.body)
-    told = [value for key, value in seen["all_headers"] if key.lower() == "x-stairquay-workspace"]
-    ids = [value for key, value in seen["all_headers"] if key.lower() == "x-request-id"]
-    assert told == [workspace], told
-    assert len(ids) == 1 and ids[0].startswith("req-"), ids
+    workspaces = [value for key, value in seen["all_headers"] if key.lower() == "x-stairquay-workspace"]
+    request_ids = [value for key, value in seen["all_headers"] if key.lower() == "x-request-id"]
+    assert workspaces == [workspace], workspaces
+    assert len(request_ids) == 1 and request_ids[0].startswith("req-"), request_ids
 
 
 @when("the engine ends all its runs early")
--- a/features/steps/product.py
+++ b/features/steps/product.py
@@ -18,79 +18,83 @@
 from tests.launcher import OPERATOR_KEY, Answer, http
 from tests.session import LLM, chat, send_chat, send_plain
 
-from calls import entry_url, note  # isort: skip
+from calls import entry_url, record_outcome  # isort: skip
 from system import workspace_intent  # isort: skip
 
-SHORT = [{"role": "user", "content": "hello"}]
+SHORT_MESSAGES = [{"role": "user", "content": "hello"}]
 
 
-def client(context, key="key-red"):
+def openai_client(context, key="key-red"):
     return openai.OpenAI(base_url=entry_url(context, "box-1") + "/v1", api_key=key, max_retries=0)
 
 
 @then("the openai client lists the model {name:Name}")
 def _(context, name):
-    assert [model.id for model in client(context).models.list()] == [name]
+    assert [model.id for model in openai_client(context).models.list()] == [name]
 
 
 @then("the openai client gets a chat answer, whole and streamed, with usage")
 def _(context):
-    calls = client(context).chat.completions
-    whole = calls.create(model=LLM, messages=SHORT, max_tokens=5)
-    assert whole.choices[0].message.content.endswith(" w4") and whole.usage.completion_tokens == 5
+    completions = openai_client(context).chat.completions
+    response = completions.create(model=LLM, messages=SHORT_MESSAGES, max_tokens=5)
+    assert response.choices[0].message.content.endswith(" w4") and response.usage.completion_tokens == 5
     parts = list(
-        calls.create(
-            model=LLM, messages=SHORT, max_tokens=5, stream=True, stream_options={"include_usage": True}
+        completions.create(
+            model=LLM,
+            messages=SHORT_MESSAGES,
+            max_tokens=5,
+            stream=True,
+            stream_options={"include_usage": True},
         )
     )
     text = "".join(part.choices[0].delta.content or "" for part in parts if part.choices)
-    assert text == whole.choices[0].message.content
-    assert parts[-1].usage.prompt_tokens == whole.usage.prompt_tokens
+    assert text == response.choices[0].message.content
+    assert parts[-1].usage.prompt_tokens == response.usage.prompt_tokens
     assert parts[-1].usage.prompt_tokens_details.cached_tokens is not None
 
 
 @then("the openai client gets a text completion")
 def _(context):
-    answer = client(context).completions.create(model=LLM, prompt="hello", max_tokens=3)
+    answer = openai_client(context).completions.create(model=LLM, prompt="hello", max_tokens=3)
     assert answer.choices[0].text.endswith(" w2")
 
 
 @then("the openai client raises its own error for a wrong key and a wrong model")
 def _(context):
-    for key, model, kind in [
+    for key, model, error_type in [
         ("wrong", LLM, openai.AuthenticationError),
         ("key-red", "nothing", openai.NotFoundError),
     ]:
         try:
-            client(context, key).chat.completions.create(model=model, messages=SHORT)
-        except kind as error:
+            openai_client(context, key).chat.completions.create(model=model, messages=SHORT_MESSAGES)
+        except error_type as error:
             assert error.body["run"] == "not run"
         else:
-            raise AssertionError(kind)
+            raise AssertionError(error_type)
 
 
-GOOD = json.dumps({"model": LLM, "messages": SHORT}).encode()
-RED = {"Authorization": "Bearer key-red", "Content-Type": "application/json"}
+VALID_BODY = json.dumps({"model": LLM, "messages": SHORT_MESSAGES}).encode()
+RED_HEADERS = {"Authorization": "Bearer key-red", "Content-Type": "application/json"}
 CHAT = "/v1/chat/completions"
 NESTED = b'{"model": "llm", "messages": ' + b"[" * 100_000 + b"]" * 100_000 + b"}"
 
 BAD_INPUT = {
-    "no key": ("POST", CHAT, GOOD, {}),
-    "an unknown key": ("POST", CHAT, GOOD, {"Authorization": "Bearer nobody"}),
-    "an unknown model": ("POST", CHAT, GOOD.replace(b"llm", b"none"), RED),
-    "a plain service as model": ("POST", CHAT, GOOD.replace(b"llm", b"portal"), RED),
-    "an unknown path": ("GET", "/nowhere", None, RED),
-    "a wrong method": ("GET", CHAT, None, RED),
-    "malformed JSON": ("POST", CHAT, b'{"model": "llm", ', RED),
-    "deeply nested JSON": ("POST", CHAT, NESTED, RED),
-    "JSON that is no object": ("POST", CHAT, b"[1]", RED),
-    "messages that are no list": ("POST", CHAT, b'{"model": "llm", "messages": "hi"}', RED),
-    "no messages": ("POST", CHAT, b'{"model": "llm", "messages": []}', RED),
-    "bytes that are no UTF-8": ("POST", CHAT, b'{"model": "\xff\xfe"}', RED),
-    "a body over the limit": ("POST", CHAT, b" " * 4_100_000 + GOOD, RED),
-    "too long an idempotency key": ("POST", CHAT, GOOD, {**RED, "Idempotency-Key": "k" * 300}),
-    "a timeout of minus one": ("POST", CHAT, GOOD, {**RED, "Stairquay-Timeout": "-1"}),
-    "a header flood": ("POST", CHAT, GOOD, {**RED, "X-Flood": "f" * 60_000}),
+    "no key": ("POST", CHAT, VALID_BODY, {}),
+    "an unknown key": ("POST", CHAT, VALID_BODY, {"Authorization": "Bearer nobody"}),
+    "an unknown model": ("POST", CHAT, VALID_BODY.replace(b"llm", b"none"), RED_HEADERS),
+    "a plain service as model": ("POST", CHAT, VALID_BODY.replace(b"llm", b"portal"), RED_HEADERS),
+    "an unknown path": ("GET", "/nowhere", None, RED_HEADERS),
+    "a wrong method": ("GET", CHAT, None, RED_HEADERS),
+    "malformed JSON": ("POST", CHAT, b'{"model": "llm", ', RED_HEADERS),
+    "deeply nested JSON": ("POST", CHAT, NESTED, RED_HEADERS),
+    "JSON that is no object": ("POST", CHAT, b"[1]", RED_HEADERS),
+    "messages that are no list": ("POST", CHAT, b'{"model": "llm", "messages": "hi"}', RED_HEADERS),
+    "no messages": ("POST", CHAT, b'{"model": "llm", "messages": []}', RED_HEADERS),
+    "bytes that are no UTF-8": ("POST", CHAT, b'{"model": "\xff\xfe"}', RED_HEADERS),
+    "a body over the limit": ("POST", CHAT, b" " * 4_100_000 + VALID_BODY, RED_HEADERS),
+    "too long an idempotency key": ("POST", CHAT, VALID_BODY, {**RED_HEADERS, "Idempotency-Key": "k" * 300}),
+    "a timeout of minus one": ("POST", CHAT, VALID_BODY, {**RED_HEADERS, "Stairquay-Timeout": "-1"}),
+    "a header flood": ("POST", CHAT, VALID_BODY, {**RED_HEADERS, "X-Flood": "f" * 60_000}),
 }
 
 
@@ -110,7 +114,7 @@
             if not part or b"}}" in part:
                 break
     text = b"".join(parts)
-    context.bad = Answer(int(text.split(b" ")[1]), {}, text.partition(b"\r\n\r\n")[2])
+    context.response = Answer(int(text.split(b" ")[1]), {}, text.partition(b"\r\n\r\n")[2])
 
 
 @when("a caller sends a chunked body over the limit")
@@ -119,22 +123,22 @@
         for _ in range(70):
             yield b" " * 65_536
 
-    work = send_plain(entry_url(context, "box-1"), "key-red", "POST", CHAT, parts(), {})
-    outcome = context.loop.run(work)
-    context.bad = Answer(outcome.status, outcome.headers, outcome.body)
+    request = send_plain(entry_url(context, "box-1"), "key-red", "POST", CHAT, parts(), {})
+    outcome = context.loop.run(request)
+    context.response = Answer(outcome.status, outcome.headers, outcome.body)
 
 
 @when("a caller sends {what}")
 def _(context, what):
     method, path, body, headers = BAD_INPUT[what]
-    context.bad = http(method, entry_url(context, "box-1") + path, body, headers)
+    context.response = http(method, entry_url(context, "box-1") + path, body, headers)
 
 
 @then("the answer's status is {status:d} and its code {code:Name}")
 def _(context, status, code):
-    assert context.bad.status == status, context.bad
+    assert context.response.status == status, context.response
     if code != "none":
-        error = context.bad.json()["error"]
+        error = context.response.json()["error"]
         assert error["code"] == code and error["run"] == "not run", error
 
 
@@ -142,8 +146,8 @@
 def _(context):
     for method in ("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"):
         body = b"" if method == "GET" else b"the body"
-        work = send_plain(entry_url(context, "box-1"), "key-red", method, "/portal/a%20b?c=d", body)
-        outcome = context.loop.run(work)
+        request = send_plain(entry_url(context, "box-1"), "key-red", method, "/portal/a%20b?c=d", body)
+        outcome = context.loop.run(request)
         seen = json.loads(outcome.body)
         assert seen["method"] == method and seen["size"] == len(body), seen
         assert seen["path"] == "/portal/a%20b?c=d", seen
@@ -151,57 +155,57 @@
 
 @then("a body of {size:d} bytes reaches the plain service whole")
 def _(context, size):
-    work = send_plain(entry_url(context, "box-1"), "key-red", "POST", "/portal/large", b"x" * size)
-    outcome = context.loop.run(work)
+    request = send_plain(entry_url(context, "box-1"), "key-red", "POST", "/portal/large", b"x" * size)
+    outcome = context.loop.run(request)
     assert json.loads(outcome.body)["size"] == size, outcome
 
 
 @then("hop-by-hop headers and the caller's key do not reach the plain service")
 def _(context):
     headers = {"Connection": "X-Hop", "X-Hop": "1", "Keep-Alive": "5", "X-Kept": "1"}
-    work = send_plain(entry_url(context, "box-1"), "key-red", "GET", "/portal/h", headers=headers)
-    seen = {key.lower() for key in json.loads(context.loop.run(work).body)["headers"]}
+    request = send_plain(entry_url(context, "box-1"), "key-red", "GET", "/portal/h", headers=headers)
+    seen = {key.lower() for key in json.loads(context.loop.run(request).body)["headers"]}
     assert "x-kept" in seen and not seen & {"x-hop", "keep-alive", "authorization"}, seen
 
 
-def short_call(context, workspace, name, tokens=4):
+def send_short_prompt(context, workspace, name, tokens=4):
     body = chat(name, True, tokens)
     return send_chat(entry_url(context, "box-1"), f"key-{workspace}", body)
 
 
-async def blue_prompts(context, count):
+async def send_blue_prompts(context, count):
     outcomes = []
     for number in range(count):
-        outcomes.append(await short_call(context, "blue", f"blue {number}"))
+        outcomes.append(await send_short_prompt(context, "blue", f"blue {number}"))
         await asyncio.sleep(0.05)
     return outcomes
 
 
 @when("blue's calm time to first token is measured")
 def _(context):
-    calm = context.loop.run(blue_prompts(context, 15))
-    context.calm = sorted(item.first_s for item in calm)[-1]
+    calm = context.loop.run(send_blue_prompts(context, 15))
+    context.baseline_first_s = sorted(item.first_s for item in calm)[-1]
 
 
 @when("red floods box-1 with {count:d} prompts while blue goes on")
 def _(context, count):
-    flood = [context.loop.start(short_call(context, "red", f"red {n}", 40)) for n in range(count)]
-    context.blue = context.loop.run(blue_prompts(context, 15))
-    context.red = [future.result(60) for future in flood]
-    context.outcomes = context.red + context.blue
+    flood = [context.loop.start(send_short_prompt(context, "red", f"red {n}", 40)) for n in range(count)]
+    context.blue_outcomes = context.loop.run(send_blue_prompts(context, 15))
+    context.red_outcomes = [future.result(60) for future in flood]
+    context.outcomes = context.red_outcomes + context.blue_outcomes
 
 
 @then("blue's prompts are all answered, and none waits over {seconds:g} s")
 def _(context, seconds):
-    assert all(item.answered for item in context.blue), context.blue
-    slowest = max(item.first_s for item in context.blue)
-    print(f"blue's slowest first token: calm {context.calm:.3f} s, under flood {slowest:.3f} s")
+    assert all(item.answered for item in context.blue_outcomes), context.blue_outcomes
+    slowest = max(item.first_s for item in context.blue_outcomes)
+    print(f"blue's slowest first token: calm {context.baseline_first_s:.3f} s, under flood {slowest:.3f} s")
     assert slowest < seconds
 
 
 @then("red's refusals say not run and when to come back")
 def _(context):
-    refused = [item for item in context.red if not item.answered]
+    refused = [item for item in context.red_outcomes if not item.answered]
     assert refused, "the flood was no flood"
     for item in refused:
         assert item.ran == "not run" and item.retry_after and item.code in ("overloaded", "rate_limited"), (
@@ -219,7 +223,7 @@
 
 @when("red sends {count:d} short prompts to box-1 at once")
 def _(context, count):
-    started = [context.loop.start(short_call(context, "red", f"red {n}")) for n in range(count)]
+    started = [context.loop.start(send_short_prompt(context, "red", f"red {n}")) for n in range(count)]
     context.outcomes = [future.result(60) for future in started]
 
 
@@ -233,7 +237,7 @@
 @when("red sends {count:d} short prompts to box-1, one after the other")
 def _(context, count):
     for number in range(count):
-        note(context, context.loop.run(short_call(context, "red", f"red {number}")))
+        record_outcome(context, context.loop.run(send_short_prompt(context, "red", f"red {number}")))
 
 
 @then("the engines saw at most {ratio:g} attempts a request")
@@ -247,7 +251,7 @@
     assert len(context.outcomes) <= attempts <= ratio * len(context.outcomes), lines
 
 
-FILES = {
+INTENT_FILES = {
     "swap.json": """// Intents may hold comments.
         [{"kind": "placement", "id": "llm", "value": {"version": "v2"}}]""",
     "wrong.json": """[{"kind": "placement", "id": "llm", "value": {"version": 2}},
@@ -258,13 +262,13 @@
 def run_command(context, args, key):
     control = f"http://127.0.0.1:{context.cluster.boxes['box-1'].control}"
     variables = {"STAIRQUAY_CONTROL": control, "STAIRQUAY_OPERATOR_KEY": key}
-    for name, text in FILES.items():
+    for name, text in INTENT_FILES.items():
         (context.cluster.folder / name).write_text(text)
-    args = [str(context.cluster.folder / arg) if arg in FILES else arg for arg in args]
+    args = [str(context.cluster.folder / arg) if arg in INTENT_FILES else arg for arg in args]
     env = Environment(io.StringIO(), io.StringIO(), io.StringIO(), variables)
-    context.exit = main(args, env)
-    context.shown = env.stdout.getvalue()
-    context.complaint = env.stderr.getvalue()
+    context.exit_status = main(args, env)
+    context.command_stdout = env.stdout.getvalue()
+    context.command_stderr = env.stderr.getvalue()
 
 
 @when("an operator runs: stairquay {command}")
@@ -279,30 +283,34 @@
 
 @when("the operator confirms that plan")
 def _(context):
-    plan = context.shown.split()[0]
+    plan = context.command_stdout.split()[0]
     run_command(context, ["plan", plan, "--confirm"], OPERATOR_KEY)
 
 
 @then('the command succeeds and shows "{text}"')
 def _(context, text):
-    assert context.exit == ExitStatus.SUCCESS, (context.exit, context.shown, context.complaint)
-    assert text in context.shown, context.shown
+    assert context.exit_status == ExitStatus.SUCCESS, (
+        context.exit_status,
+        context.command_stdout,
+        context.command_stderr,
+    )
+    assert text in context.command_stdout, context.command_stdout
 
 
 @then('the command shows "{text}"')
 def _(context, text):
-    assert text in context.shown, context.shown
+    assert text in context.command_stdout, context.command_stdout
 
 
 @then('the command ends with {status:Name} and complains of "{text}"')
 def _(context, status, text):
-    assert context.exit == ExitStatus[status], (context.exit, context.complaint)
-    assert text in context.complaint, context.complaint
+    assert context.exit_status == ExitStatus[status], (context.exit_status, context.command_stderr)
+    assert text in context.command_stderr, context.command_stderr
 
 
 @then('the command complains of "{text}"')
 def _(context, text):
-    assert text in context.complaint, context.complaint
+    assert text in context.command_stderr, context.command_stderr
 
 
 @then("no engine was ordered to do anything")
@@ -314,9 +322,9 @@
 @then("neither plans nor the configuration show a secret")
 def _(context):
     plan = context.cluster.propose("box-1", [workspace_intent("green"), workspace_intent("red", rate_s=7)])
-    shown = context.cluster.control("box-1", "GET", "/v1/configuration").body.decode()
-    again = context.cluster.control("box-1", "GET", f"/v1/plans/{plan['id']}").body.decode()
-    for text in (json.dumps(plan), shown, again):
+    configuration = context.cluster.control("box-1", "GET", "/v1/configuration").body.decode()
+    stored_plan = context.cluster.control("box-1", "GET", f"/v1/plans/{plan['id']}").body.decode()
+    for text in (json.dumps(plan), configuration, stored_plan):
         assert "red" in text and "kept_secret" not in text, text
 
 
@@ -328,9 +336,11 @@
     authority.cert_pem.write_to_path(folder / "authority.pem")
     issued.private_key_pem.write_to_path(folder / "key.pem")
     issued.cert_chain_pems[0].write_to_path(folder / "certificate.pem")
-    pair = {"certificate": str(folder / "certificate.pem"), "key": str(folder / "key.pem")}
-    both = {**pair, "authority": str(folder / "authority.pem")}
-    context.cluster.overrides.update({"internal_tls": both, "entry.tls": pair, "control.tls": pair})
+    server_tls = {"certificate": str(folder / "certificate.pem"), "key": str(folder / "key.pem")}
+    mutual_tls = {**server_tls, "authority": str(folder / "authority.pem")}
+    context.cluster.overrides.update(
+        {"internal_tls": mutual_tls, "entry.tls": server_tls, "control.tls": server_tls}
+    )
     context.cluster.tls = ssl.create_default_context(cafile=str(folder / "authority.pem"))
 
 
@@ -338,12 +348,14 @@
 def _(context, workspace, name, box):
     body = chat("over tls", True, 6)
     url = f"https://127.0.0.1:{context.cluster.boxes[box].entry}"
-    note(context, context.loop.run(send_chat(url, f"key-{workspace}", body, tls=context.cluster.tls)))
+    record_outcome(
+        context, context.loop.run(send_chat(url, f"key-{workspace}", body, tls=context.cluster.tls))
+    )
 
 
 @then("a process without a certificate cannot ask a router")
 def _(context):
-    async def ask():
+    async def request_status():
         import grpc
 
         from stairquay.adapters.router_pb2 import StatusRequest
@@ -360,15 +372,17 @@
             await channels.close()
         return "answered"
 
-    assert context.loop.run(ask()) in ("UNAVAILABLE", "DEADLINE_EXCEEDED")
+    assert context.loop.run(request_status()) in ("UNAVAILABLE", "DEADLINE_EXCEEDED")
 
 
 @then("a compressed body reaches the plain service as it was sent")
 def _(context):
-    packed = gzip.compress(b"the body " * 1000)
+    compressed = gzip.compress(b"the body " * 1000)
     headers = {"Content-Encoding": "gzip"}
-    work = send_plain(entry_url(context, "box-1"), "key-red", "POST", "/portal/packed", packed, headers)
-    seen = json.loads(context.loop.run(work).body)
+    request = send_plain(
+        entry_url(context, "box-1"), "key-red", "POST", "/portal/packed", compressed, headers
+    )
+    seen = json.loads(context.loop.run(request).body)
     # The stand-in's own server unpacks what it is sent, and refuses what is no gzip.
     assert seen["size"] == 9000 and seen["headers"]["Content-Encoding"] == "gzip", seen
 
--- a/features/steps/proofs.py
+++ b/features/steps/proofs.py
@@ -5,7 +5,7 @@
 from tests.launcher import http
 from tests.session import LLM, all_runs
 
-from calls import body_of, call, note  # isort: skip
+from calls import prompt_body, send_prompt, record_outcome  # isort: skip
 from system import workspace_intent  # isort: skip
 
 
@@ -36,21 +36,25 @@
 
 @when("{workspace:Name} sends a prompt that names the blocks of {engine:Name} to {box:Name}")
 def _(context, workspace, engine, box):
-    body = body_of("alpha")
+    body = prompt_body("alpha")
     body["kv_transfer_params"] = {"ids": context.cluster.audit(engine)["cache"], "block_tokens": 256}
-    note(context, context.loop.run(call(context, workspace, box, body)))
+    record_outcome(context, context.loop.run(send_prompt(context, workspace, box, body)))
 
 
 @when("{workspace:Name} sends the prompt {name:Name} to {box:Name} {count:d} times at once")
 def _(context, workspace, name, box, count):
-    started = [context.loop.start(call(context, workspace, box, body_of(name))) for _ in range(count)]
+    started = [
+        context.loop.start(send_prompt(context, workspace, box, prompt_body(name))) for _ in range(count)
+    ]
     context.outcomes = [future.result(60) for future in started]
 
 
 @when("{workspace:Name} sends {count:d} different prompts to {box:Name}")
 def _(context, workspace, count, box):
     for number in range(count):
-        note(context, context.loop.run(call(context, workspace, box, body_of(f"different{number}"))))
+        record_outcome(
+            context, context.loop.run(send_prompt(context, workspace, box, prompt_body(f"different{number}")))
+        )
 
 
 @when("{name:Name} holds data of an export under way")
@@ -86,11 +90,11 @@
 
 @then("{name:Name} has no data without a manifest within {seconds:g} s")
 def _(context, name, seconds):
-    def clean():
+    def no_orphaned_data():
         found = context.cluster.audit(name)
         return found["data"] == found["manifests"]
 
-    context.cluster.until(clean, seconds, "freed data")
+    context.cluster.until(no_orphaned_data, seconds, "freed data")
 
 
 @when("the operator lets {workspace:Name} use only {service:Name}")
@@ -101,51 +105,51 @@
 @when("an operator plans version {version:Name} at {box:Name} as {name:Name}")
 def _(context, version, box, name):
     intent = {"kind": "placement", "id": LLM, "value": {"version": version}}
-    context.named[name] = context.cluster.propose(box, [intent])["id"]
+    context.results_by_name[name] = context.cluster.propose(box, [intent])["id"]
 
 
 @when("an operator plans version {version:Name} with {count:d} loads at once at {box:Name} as {name:Name}")
 def _(context, version, count, box, name):
     intent = {"kind": "placement", "id": LLM, "value": {"version": version, "max_loading": count}}
-    context.named[name] = context.cluster.propose(box, [intent])["id"]
+    context.results_by_name[name] = context.cluster.propose(box, [intent])["id"]
 
 
 @when("the plan {name:Name} is confirmed at {box:Name}")
 def _(context, name, box):
-    context.confirmed = context.cluster.confirm(box, context.named[name])
+    context.confirm_response = context.cluster.confirm(box, context.results_by_name[name])
 
 
 @when("the plans {first:Name} and {second:Name} are confirmed at once")
 def _(context, first, second):
     from concurrent.futures import ThreadPoolExecutor
 
-    pairs = [("box-1", context.named[first]), ("box-2", context.named[second])]
+    pairs = [("box-1", context.results_by_name[first]), ("box-2", context.results_by_name[second])]
     with ThreadPoolExecutor(2) as pool:
-        context.confirmations = list(pool.map(lambda pair: context.cluster.confirm(*pair), pairs))
+        context.confirm_responses = list(pool.map(lambda pair: context.cluster.confirm(*pair), pairs))
 
 
 @then("exactly one plan is accepted")
 def _(context):
-    assert sorted(item.status for item in context.confirmations) == [200, 409], context.confirmations
+    assert sorted(item.status for item in context.confirm_responses) == [200, 409], context.confirm_responses
 
 
 @then("it is accepted")
 def _(context):
-    assert context.confirmed.status == 200, context.confirmed
-    context.revision = context.confirmed.json()["revision"]
+    assert context.confirm_response.status == 200, context.confirm_response
+    context.revision = context.confirm_response.json()["revision"]
 
 
 @then("it is refused with what changed")
 def _(context):
-    error = context.confirmed.json()["error"]
-    assert context.confirmed.status == 409 and error["code"] == "conflict", context.confirmed
+    error = context.confirm_response.json()["error"]
+    assert context.confirm_response.status == 409 and error["code"] == "conflict", context.confirm_response
     assert [row["key"] for row in error["changed"]] == [f"config/placement/{LLM}"], error
 
 
 @then("it is refused for the platform")
 def _(context):
-    assert context.confirmed.status == 503, context.confirmed
-    assert context.confirmed.json()["error"]["code"] == "platform_down"
+    assert context.confirm_response.status == 503, context.confirm_response
+    assert context.confirm_response.json()["error"]["code"] == "platform_down"
 
 
 @then("version {version:Name} is wanted")
@@ -159,25 +163,25 @@
 
 @then("{box:Name} has that revision")
 def _(context, box):
-    def has():
+    def has_revision():
         processes = context.cluster.control("box-1", "GET", "/v1/status").json()["processes"]
         found = [item["revision"] for item in processes if item["box"] == box]
         return len(found) == 3 and min(found) >= context.revision
 
-    context.cluster.until(has, 4, f"{box} at revision {context.revision}")
+    context.cluster.until(has_revision, 4, f"{box} at revision {context.revision}")
 
 
 @when("{box:Name} is cut off from platform and peers")
 def _(context, box):
-    cut(context, box, refuse=True)
+    set_partitioned(context, box, refuse=True)
 
 
 @when("{box:Name} reaches platform and peers again")
 def _(context, box):
-    cut(context, box, refuse=False)
+    set_partitioned(context, box, refuse=False)
 
 
-def cut(context, box, refuse):
+def set_partitioned(context, box, refuse):
     """Close or open the proxies through which this box alone, and other boxes' owners, are reached."""
     for other in context.box_names:
         if other != box:
@@ -190,14 +194,14 @@
     cluster = context.cluster
     port = cluster.boxes[box].control_metrics
 
-    def leads():
+    def is_leading():
         text = http("GET", f"http://127.0.0.1:{port}/metrics").body.decode()
         return "stairquay_leading 1.0" in text
 
     others = [other for other in context.box_names if other != box]
     for other in others:
         cluster.processes[f"{other}-control"].terminate()
-    cluster.until(leads, 15, f"{box} leads")
+    cluster.until(is_leading, 15, f"{box} leads")
     for other in others:
         cluster.processes[f"{other}-control"].wait(10)
         cluster.program(other, "control")
--- a/features/steps/system.py
+++ b/features/steps/system.py
@@ -11,7 +11,7 @@
 COSTS = {"prefill_tokens_s": 40000, "decode_step_s": 0.005, "link_bytes_s": 30e9, "load_s": 0.6}
 
 
-def engine_values(context):
+def engine_parameters(context):
     return {
         "prefill_tokens_s": COSTS["prefill_tokens_s"],
         "decode_step_s": COSTS["decode_step_s"],
@@ -19,7 +19,7 @@
     }
 
 
-def store_values(context):
+def store_parameters(context):
     return {"link_bytes_s": COSTS["link_bytes_s"], **getattr(context, "store_extra", {})}
 
 
@@ -77,9 +77,9 @@
     context.plain = [f"plain-{i}" for i in range(1, plain + 1)]
     context.box_names = [f"box-{i}" for i in range(1, boxes + 1)]
     for name in context.engines:
-        cluster.engine(name, **engine_values(context))
+        cluster.engine(name, **engine_parameters(context))
     for name in context.stores:
-        cluster.store(name, **store_values(context))
+        cluster.store(name, **store_parameters(context))
     for name in context.plain:
         cluster.plain(name)
     for name in context.engines + context.stores + context.plain:
@@ -89,7 +89,7 @@
     cluster.until_ready(*context.box_names)
     for name in context.box_names:
         cluster.until(lambda name=name: cluster.ready(name, "control"), 15, "control")
-    revision = cluster.apply("box-1", first_intents(context))
+    revision = cluster.apply("box-1", initial_intents(context))
     cluster.until_in_force("box-1", revision)
     cluster.until(lambda: all(item["age_s"] >= 0 for item in engine_status(context)), 10, "engines polled")
 
@@ -99,7 +99,7 @@
     return [item for item in status["endpoints"] if item["service"] == LLM]
 
 
-def first_intents(context):
+def initial_intents(context):
     checks = getattr(context, "checks_orders", True)
     llm = {
         "kind": "engine",
@@ -189,12 +189,12 @@
 
 @step("engine {name:Name} is started anew")
 def _(context, name):
-    context.cluster.engine(name, **engine_values(context))
+    context.cluster.engine(name, **engine_parameters(context))
 
 
 @step("store {name:Name} is started anew")
 def _(context, name):
-    context.cluster.store(name, **store_values(context))
+    context.cluster.store(name, **store_parameters(context))
     context.cluster.until_listens(context.cluster.ports[name])
 
 
@@ -264,7 +264,7 @@
 def _(context, name):
     cluster = context.cluster
     cluster.processes[name].kill()
-    cluster.engine(name, **engine_values(context))
+    cluster.engine(name, **engine_parameters(context))
     cluster.until_listens(cluster.ports[name])
     cluster.until(lambda: http("GET", f"http://127.0.0.1:{cluster.ports[name]}/state?after=0").status == 200)
     time.sleep(0.6)
