--- a/features/steps/proofs.py
+++ b/features/steps/proofs.py
@@ -11,17 +11,17 @@
 
 @given("engines whose cache events come {seconds:g} s late")
 def _(context, seconds):
-    context.engine_extra = {**getattr(context, "engine_extra", {}), "event_lag_s": seconds}
+    context.engine_options = {**getattr(context, "engine_options", {}), "event_lag_s": seconds}
 
 
 @given("stores whose links carry {rate:g} bytes a second")
 def _(context, rate):
-    context.store_extra = {**getattr(context, "store_extra", {}), "link_bytes_s": rate}
+    context.store_options = {**getattr(context, "store_options", {}), "link_bytes_s": rate}
 
 
 @given("stores that hold {size:g} bytes")
 def _(context, size):
-    context.store_extra = {**getattr(context, "store_extra", {}), "capacity": int(size)}
+    context.store_options = {**getattr(context, "store_options", {}), "capacity": int(size)}
 
 
 @then("{name:Name} has imported {count:d} blocks")
--- a/features/steps/system.py
+++ b/features/steps/system.py
@@ -15,33 +15,33 @@
     return {
         "prefill_tokens_s": COSTS["prefill_tokens_s"],
         "decode_step_s": COSTS["decode_step_s"],
-        **getattr(context, "engine_extra", {}),
+        **getattr(context, "engine_options", {}),
     }
 
 
 def store_parameters(context):
-    return {"link_bytes_s": COSTS["link_bytes_s"], **getattr(context, "store_extra", {})}
+    return {"link_bytes_s": COSTS["link_bytes_s"], **getattr(context, "store_options", {})}
 
 
 @given("engines that do not check orders")
 def _(context):
     context.checks_orders = False
-    context.engine_extra = {**getattr(context, "engine_extra", {}), "checks_orders": False}
+    context.engine_options = {**getattr(context, "engine_options", {}), "checks_orders": False}
 
 
 @given("engines with memory for {tokens:d} tokens")
 def _(context, tokens):
-    context.engine_extra = {**getattr(context, "engine_extra", {}), "cache_tokens": tokens}
+    context.engine_options = {**getattr(context, "engine_options", {}), "cache_tokens": tokens}
 
 
 @given("engines that take {seconds:g} s a token")
 def _(context, seconds):
-    context.engine_extra = {**getattr(context, "engine_extra", {}), "decode_step_s": seconds}
+    context.engine_options = {**getattr(context, "engine_options", {}), "decode_step_s": seconds}
 
 
 @given("engines that lose {share:g} of their cache events")
 def _(context, share):
-    context.engine_extra = {**getattr(context, "engine_extra", {}), "event_loss": share}
+    context.engine_options = {**getattr(context, "engine_options", {}), "event_loss": share}
 
 
 @given("the setting {path:Name} is {value}")
