--- a/features/steps/proofs.py
+++ b/features/steps/proofs.py
@@ -5,7 +5,7 @@
 from tests.launcher import http
 from tests.session import LLM, all_runs
 
-from calls import prompt_body, send_prompt, record_outcome  # isort: skip
+from calls import prompt_body, record_outcome, send_prompt  # isort: skip
 from system import workspace_intent  # isort: skip
 
 
