--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -37,22 +37,24 @@
 )
 
 
-def history(writes):
+def numbered_rows(writes):
     return [Row(key, value, number) for number, (key, value) in enumerate(writes, start=1)]
 
 
 @given(ROWS, st.lists(st.tuples(st.integers(0, 12), st.integers(0, 12)), max_size=12))
 def test_no_order_of_deltas_makes_a_configuration_go_back(writes, offers):
-    rows = history(writes)
-    held = Configuration()
+    rows = numbered_rows(writes)
+    configuration = Configuration()
     for since, upto in offers:
         upto = min(upto, len(rows))
-        since = min(since, held.revision)
+        since = min(since, configuration.revision)
         offered = tuple(row for row in rows if since < row.revision <= upto)
-        before = held.revision
-        held = merge(held, offered, upto)
-        assert held.revision >= before
-        assert held.rows_by_key == {row.key: row for row in rows if row.revision <= held.revision}
+        before = configuration.revision
+        configuration = merge(configuration, offered, upto)
+        assert configuration.revision >= before
+        assert configuration.rows_by_key == {
+            row.key: row for row in rows if row.revision <= configuration.revision
+        }
 
 
 TRIGGERS = st.lists(st.sampled_from(["send", "refuse", "answer", "finish", "lose"]), max_size=8)
@@ -119,7 +121,7 @@
 COSTS = EngineCosts(prefill_tokens_s=10_000, kv_bytes_token=140_000, link_bytes_s=4e9)
 
 
-def kept(count, wait_s=0.0, rate=4e9):
+def stored_run(count, wait_s=0.0, rate=4e9):
     blocks = tuple(StoredBlock("s", "seg", number, "") for number in range(count))
     return StoredRun("s", blocks, wait_s, rate)
 
@@ -127,27 +129,27 @@
 @given(st.integers(1, 60), st.floats(0, 3), st.floats(1e8, 1e11), st.floats(0, 50_000), st.floats(0, 1))
 def test_the_way_chosen_is_never_dearer_than_any_number_of_blocks(count, wait_s, rate, queued, weight):
     demand = Demand(count * BLOCK_TOKENS + 100, weight)
-    full = Candidate("e", "v", queued, stored=(kept(count, wait_s, rate),))
+    full = Candidate("e", "v", queued, stored=(stored_run(count, wait_s, rate),))
     best = cheapest_option(demand, full, COSTS).cost
     for part in range(0, count + 1, max(1, count // 7)):
-        partial = Candidate("e", "v", queued, stored=(kept(part, wait_s, rate),) if part else ())
+        partial = Candidate("e", "v", queued, stored=(stored_run(part, wait_s, rate),) if part else ())
         assert best <= cheapest_option(demand, partial, COSTS).cost + 1e-9
 
 
 def test_a_slow_link_is_left_alone_and_a_fast_one_used():
     demand = Demand(20 * BLOCK_TOKENS, 0.8)
-    slow = cheapest_option(demand, Candidate("e", "v", stored=(kept(20, rate=2e8),)), COSTS)
-    fast = cheapest_option(demand, Candidate("e", "v", stored=(kept(20),)), COSTS)
+    slow = cheapest_option(demand, Candidate("e", "v", stored=(stored_run(20, rate=2e8),)), COSTS)
+    fast = cheapest_option(demand, Candidate("e", "v", stored=(stored_run(20),)), COSTS)
     assert slow.import_ is None
     assert fast.import_ is not None and len(fast.import_.blocks) == 20
 
 
 def test_while_a_prompt_would_wait_anyway_bringing_part_is_free():
     demand = Demand(20 * BLOCK_TOKENS, 1.0)
-    way = cheapest_option(
-        demand, Candidate("e", "v", queued_tokens=2_000, stored=(kept(20, rate=1e9),)), COSTS
+    option = cheapest_option(
+        demand, Candidate("e", "v", queued_tokens=2_000, stored=(stored_run(20, rate=1e9),)), COSTS
     )
-    assert way.import_ is not None and 0 < len(way.import_.blocks) < 20
+    assert option.import_ is not None and 0 < len(option.import_.blocks) < 20
 
 
 def test_a_prompt_goes_where_it_is_resident_until_the_queue_there_costs_more():
@@ -160,8 +162,8 @@
 
 def test_equal_endpoints_share_what_stale_reports_cannot_tell_apart():
     same = [Candidate(f"e{number}", "v") for number in range(40)]
-    chance = Random(7)
-    picked = [choose(Demand(1_000, 0.8), same, COSTS, chance).endpoint for _ in range(400)]
+    random = Random(7)
+    picked = [choose(Demand(1_000, 0.8), same, COSTS, random).endpoint for _ in range(400)]
     assert len(set(picked)) == 40
     assert max(picked.count(name) for name in set(picked)) < 30
 
@@ -273,10 +275,10 @@
 
 def test_a_holder_stops_before_a_rival_may_start():
     row = LeaseRow("a", 3, 10.0)
-    held = HeldLease(row, 7, sent_at=100.0)
+    held_lease = HeldLease(row, 7, sent_at=100.0)
     rival = observe(None, row, 7, 100.5)
     rival = observe(rival, row, 7, 104.0)
-    assert not held.may_act(100.0 + 10.0 * HOLDER_SHARE)
+    assert not held_lease.may_act(100.0 + 10.0 * HOLDER_SHARE)
     assert not rival.expired(110.0) and rival.expired(110.5)
 
 
@@ -291,8 +293,8 @@
         row = after
 
 
-def box(name, state=BoxState.LIVE, life="1"):
-    return Box(name, BoxKind.ENGINE, {"http": "127.0.0.1:1"}, "", state, life)
+def box(name, state=BoxState.LIVE, incarnation="1"):
+    return Box(name, BoxKind.ENGINE, {"http": "127.0.0.1:1"}, "", state, incarnation)
 
 
 def test_a_departure_outlives_lagging_lists_and_ends_with_another_life():
@@ -303,7 +305,7 @@
     assert not membership.on_list(BoxList(4, (box("e"),)))
     membership.on_list(BoxList(6, (box("e"),)))
     assert membership.usable("e") is None
-    membership.on_list(BoxList(7, (box("e", life="2"),)))
+    membership.on_list(BoxList(7, (box("e", incarnation="2"),)))
     assert membership.usable("e") is not None
 
 
@@ -320,10 +322,10 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 30)), max_size=60))
 def test_believed_memory_stays_within_its_capacity(steps):
-    memory = EngineCache(capacity_tokens=8 * BLOCK_TOKENS)
+    cache = EngineCache(capacity_tokens=8 * BLOCK_TOKENS)
     for touch, block in steps:
-        (memory.touch if touch else memory.drop)([str(block)])
-        assert len(memory.blocks) <= 8
+        (cache.touch if touch else cache.drop)([str(block)])
+        assert len(cache.blocks) <= 8
 
 
 def segment(name, ids, **values):
@@ -334,7 +336,7 @@
     index = StoredBlockIndex()
     index.add("s", segment("one", "abc"))
     index.add("s", segment("two", "cd"))
-    assert [place.segment for place in index.contiguous_blocks("s", tuple("abcd"), 0)] == [
+    assert [block.segment for block in index.contiguous_blocks("s", tuple("abcd"), 0)] == [
         "one",
         "one",
         "two",
@@ -354,18 +356,18 @@
 
 
 def test_a_store_box_under_a_steady_stream_stays_below_full_and_is_not_emptied():
-    capacity, piece, grace = 1_000_000, 10_000, 10
-    shown, waiting = 0, []
+    capacity, segment_bytes, grace = 1_000_000, 10_000, 10
+    resident_bytes, waiting = 0, []
     for moment in range(400):
         waiting = [(due, size) for due, size in waiting if due > moment]
-        bare = sum(size for _, size in waiting)
-        assert shown + bare + piece <= capacity, moment
-        shown += piece
-        excess = excess_bytes(shown + bare, bare, piece * grace, capacity)
-        gone = -(-max(0, excess) // piece) * piece
-        shown -= gone
-        waiting.append((moment + grace, gone))
-    assert shown >= 0.8 * capacity
+        pending_free = sum(size for _, size in waiting)
+        assert resident_bytes + pending_free + segment_bytes <= capacity, moment
+        resident_bytes += segment_bytes
+        excess = excess_bytes(resident_bytes + pending_free, pending_free, segment_bytes * grace, capacity)
+        evicted_bytes = -(-max(0, excess) // segment_bytes) * segment_bytes
+        resident_bytes -= evicted_bytes
+        waiting.append((moment + grace, evicted_bytes))
+    assert resident_bytes >= 0.8 * capacity
 
 
 def test_a_handful_of_new_conversations_does_not_stop_their_exports():
@@ -376,10 +378,10 @@
 
 
 def test_return_rates_tell_those_who_come_back_from_those_who_do_not():
-    rates, families = ReturnRates(), TurnCounter()
+    rates, turn_counter = ReturnRates(), TurnCounter()
     for number in range(1_000):
-        rates.on_turn("once", families.on_turn(b"once%d" % number, 1))
+        rates.on_turn("once", turn_counter.on_turn(b"once%d" % number, 1))
         for _ in range(2):
-            rates.on_turn("again", families.on_turn(b"again%d" % number, 1))
+            rates.on_turn("again", turn_counter.on_turn(b"again%d" % number, 1))
     assert rates.probability("once", 1) < 0.1
     assert rates.probability("again", 1) > 0.9
--- a/tests/test_serving_core.py
+++ b/tests/test_serving_core.py
@@ -50,7 +50,7 @@
 def test_a_workspaces_rank_goes_before_its_routes_and_routes_keep_their_order_within_it():
     first, second = WorkspacePolicy("a", priority=0), WorkspacePolicy("b", priority=1)
     urgent, calm = make_route(priority=0), make_route(priority=2)
-    ranks = [engine_priority(route, space) for space in (first, second) for route in (urgent, calm)]
+    ranks = [engine_priority(route, policy) for policy in (first, second) for route in (urgent, calm)]
     assert ranks == sorted(set(ranks))
     assert engine_priority(make_route(priority=40), WorkspacePolicy("c", priority=9)) == 9
 
@@ -80,7 +80,7 @@
     assert [item.id for item in fleet.usable("s", 9.0)] == ["e"]
 
 
-WHOLE_S = 1e6
+FULL_SLACK_S = 1e6
 """Seconds after which a box has its whole slack: more than any window."""
 
 
@@ -92,16 +92,16 @@
 def test_all_boxes_together_never_exceed_the_allowance_in_any_window(boxes, steps):
     allowance = RetryAllowance(ratio=0.2, slack=50, window_s=10.0)
     budgets = [WindowedRetryBudget(allowance) for _ in range(boxes)]
-    now, requests, repeats = 0.0, [], []
-    for pause, repeat, chosen in steps:
+    now, requests, retries = 0.0, [], []
+    for pause, retry, chosen in steps:
         now += pause
         budget = budgets[chosen % boxes]
-        if not repeat:
+        if not retry:
             budget.on_request(now)
             requests.append(now)
-        elif take(budget, now, boxes, WHOLE_S):
-            repeats.append(now)
-        spent = sum(at > now - 10.0 for at in repeats)
+        elif spend_retry(budget, now, boxes, FULL_SLACK_S):
+            retries.append(now)
+        spent = sum(at > now - 10.0 for at in retries)
         assert spent <= 0.2 * sum(at >= now - 20.0 for at in requests) + 50
 
 
@@ -122,24 +122,24 @@
         max_size=300,
     ),
 )
-def test_boxes_killed_and_started_anew_at_any_time_never_exceed_the_allowance(boxes, unread_s, steps):
+def test_boxes_killed_and_started_anew_at_any_time_never_exceed_the_allowance(boxes, discovery_s, steps):
     """Each box counts itself alone until it has read, `unread_s` after its start, how many there are."""
     allowance = RetryAllowance(ratio=0.2, slack=10, window_s=10.0)
     budgets = [WindowedRetryBudget(allowance) for _ in range(boxes)]
     started = [0.0] * boxes
-    now, requests, repeats = 0.0, [], []
+    now, requests, retries = 0.0, [], []
     for pause, step, chosen in steps:
         now += pause
         box = chosen % boxes
-        known_s = now - started[box] - unread_s
+        known_s = now - started[box] - discovery_s
         if step == "kill":
             budgets[box], started[box] = WindowedRetryBudget(allowance), now
         elif step == "request":
             budgets[box].on_request(now)
             requests.append(now)
-        elif take(budgets[box], now, boxes, known_s):
-            repeats.append(now)
-        spent = sum(at > now - 10.0 for at in repeats)
+        elif spend_retry(budgets[box], now, boxes, known_s):
+            retries.append(now)
+        spent = sum(at > now - 10.0 for at in retries)
         assert spent <= 0.2 * sum(at >= now - 20.0 for at in requests) + 10
 
 
@@ -152,7 +152,7 @@
     assert taken == [True] * 3 + [False] * 7  # 0.7 of 10, for two boxes
 
 
-def take(budget: WindowedRetryBudget, now: float, boxes: int, known_s: float) -> bool:
+def spend_retry(budget: WindowedRetryBudget, now: float, boxes: int, known_s: float) -> bool:
     """Take a repeat at a box that has known of the others for `known_s`; below 0, it does not yet."""
     return budget.take(now, boxes if known_s >= 0 else 1, max(0.0, known_s))
 
@@ -241,10 +241,10 @@
 
 def test_an_order_that_shows_no_effect_is_given_again_and_a_newer_version_overtakes_it():
     one = [ENGINES[0]]
-    given_before = {("e0", 2): IssuedOrder(100.0)}
-    assert not next_orders(one, {"m": 2}, given_before, 100.0 + ACCEPTED_ORDER_TIMEOUT_S - 0.1)
-    assert next_orders(one, {"m": 2}, given_before, 100.0 + ACCEPTED_ORDER_TIMEOUT_S + 0.1)
-    assert next_orders(one, {"m": 3}, given_before, 100.1)[0].version == 3
+    issued = {("e0", 2): IssuedOrder(100.0)}
+    assert not next_orders(one, {"m": 2}, issued, 100.0 + ACCEPTED_ORDER_TIMEOUT_S - 0.1)
+    assert next_orders(one, {"m": 2}, issued, 100.0 + ACCEPTED_ORDER_TIMEOUT_S + 0.1)
+    assert next_orders(one, {"m": 3}, issued, 100.1)[0].version == 3
     assert not next_orders([replace(one[0], version=2)], {"m": 2}, {}, 0.0)
     assert not next_orders([replace(one[0], sequence=None)], {"m": 2}, {}, 0.0)
 
@@ -254,8 +254,8 @@
     st.text(min_size=1, max_size=8),
     st.integers(0, 99),
 )
-def test_a_scopes_name_is_read_back(wall, model, version):
-    scope = Scope(wall, model, version)
+def test_a_scopes_name_is_read_back(workspace, model, version):
+    scope = Scope(workspace, model, version)
     assert parse_scope(scope.name) == scope
 
 
@@ -270,11 +270,11 @@
 
 
 def test_an_order_without_answer_holds_up_no_other_engine_and_is_given_again_sooner():
-    given_before = {("e0", 2): IssuedOrder(100.0, answered=False), ("e1", 2): IssuedOrder(100.0)}
-    orders = next_orders(ENGINES, {"m": 2}, given_before, 101.0)
+    issued = {("e0", 2): IssuedOrder(100.0, answered=False), ("e1", 2): IssuedOrder(100.0)}
+    orders = next_orders(ENGINES, {"m": 2}, issued, 101.0)
     assert [order.engine for order in orders] == ["e2", "e3"]
-    again = next_orders(ENGINES[:1], {"m": 2}, given_before, 100.0 + UNANSWERED_ORDER_TIMEOUT_S + 0.1)
-    assert [order.engine for order in again] == ["e0"]
+    reissued = next_orders(ENGINES[:1], {"m": 2}, issued, 100.0 + UNANSWERED_ORDER_TIMEOUT_S + 0.1)
+    assert [order.engine for order in reissued] == ["e0"]
 
 
 def test_engines_whose_weights_are_overdue_load_at_once():
