--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -21,7 +21,7 @@
 TOLD_S = 3.0
 """Seconds after a third crash from which boxes must know of it: the shortest bound of any deployment."""
 
-MOST_LATE = 3
+MAX_LATE = 3
 """Endpoints that such a request may reach after that."""
 
 NEVER = float("-inf")
--- a/tests/test_crash_rows.py
+++ b/tests/test_crash_rows.py
@@ -20,7 +20,7 @@
 OFFSET = ClockOffset(50.0, 50.0)
 
 
-class Table:
+class StubTable:
     """A table service that answers commits as the test wants, and notes them."""
 
     def __init__(self, *answers) -> None:
@@ -37,76 +37,78 @@
 
 def row(key: str, revision: int, *crashes: tuple[str, int, float], **fields) -> Row:
     """A box's row; times are seconds ago."""
-    told = [[digest, f"e-{life}", NOW + 50.0 - ago_s, 0.1, 0] for digest, life, ago_s in crashes]
-    return Row(key, json.dumps({"crashes": told, **fields}), revision)
+    encoded = [
+        [digest, f"e-{incarnation}", NOW + 50.0 - ago_s, 0.1, 0] for digest, incarnation, ago_s in crashes
+    ]
+    return Row(key, json.dumps({"crashes": encoded, **fields}), revision)
 
 
-def box(monkeypatch, table: Table) -> tuple[BoxState, CrashRowSync]:
+def box_with_row_sync(monkeypatch, table: StubTable) -> tuple[BoxState, CrashRowSync]:
     for module in ("crash_rows", "quarantine"):
         monkeypatch.setattr(f"stairquay.serving.{module}.monotonic", lambda: NOW)
     state = box_state()
     return state, CrashRowSync(state, table)
 
 
-def written(table: Table) -> list[str]:
+def written_digests(table: StubTable) -> list[str]:
     return [item[0] for item in json.loads(table.commits[-1].writes[0].value)["crashes"]]
 
 
 def test_what_a_process_before_wrote_stays_in_the_row(monkeypatch):
-    standing = row("b-1", 5, ("before", 1, 10.0))
-    table = Table(Ok(Conflict((standing,))))
-    state, rows = box(monkeypatch, table)
+    existing = row("b-1", 5, ("before", 1, 10.0))
+    table = StubTable(Ok(Conflict((existing,))))
+    state, row_sync = box_with_row_sync(monkeypatch, table)
     state.quarantine.record_crashes([Crash("new", "e-2", NOW - 1.0, 0.1, 0)])
-    assert not asyncio.run(rows._write())
-    assert asyncio.run(rows._write())
+    assert not asyncio.run(row_sync._write())
+    assert asyncio.run(row_sync._write())
     assert table.commits[-1].conditions[0].revision == 5
-    assert sorted(written(table)) == ["before", "new"]
-    assert rows.revision == 7
+    assert sorted(written_digests(table)) == ["before", "new"]
+    assert row_sync.revision == 7
 
 
 def test_a_row_that_another_box_removed_is_written_anew(monkeypatch):
-    table = Table(Ok(Committed(3)), Ok(Conflict((Row("b-1", None, 4),))))
-    state, rows = box(monkeypatch, table)
+    table = StubTable(Ok(Committed(3)), Ok(Conflict((Row("b-1", None, 4),))))
+    state, row_sync = box_with_row_sync(monkeypatch, table)
     state.quarantine.record_crashes([Crash("new", "e-2", NOW - 1.0, 0.1, 0)])
-    assert asyncio.run(rows._write())
-    assert not asyncio.run(rows._write())
-    assert asyncio.run(rows._write())
+    assert asyncio.run(row_sync._write())
+    assert not asyncio.run(row_sync._write())
+    assert asyncio.run(row_sync._write())
     assert table.commits[-1].conditions[0].revision == 0
 
 
 def test_a_write_without_an_answer_is_made_again(monkeypatch):
-    table = Table(Err(PlatformFault.UNKNOWN))
-    state, rows = box(monkeypatch, table)
+    table = StubTable(Err(PlatformFault.UNKNOWN))
+    state, row_sync = box_with_row_sync(monkeypatch, table)
     state.quarantine.record_crashes([Crash("new", "e-2", NOW - 1.0, 0.1, 0)])
-    assert not asyncio.run(rows._write()) and asyncio.run(rows._write())
+    assert not asyncio.run(row_sync._write()) and asyncio.run(row_sync._write())
 
 
 def test_rows_in_which_nothing_counts_any_more_are_removed_and_no_others(monkeypatch):
-    table = Table()
-    state, rows = box(monkeypatch, table)
-    told = (
+    table = StubTable()
+    state, row_sync = box_with_row_sync(monkeypatch, table)
+    rows = (
         row("old", 1, ("a", 1, CRASH_TTL_S + 1)),
         row("young", 2, ("a", 2, CRASH_TTL_S + 1), ("a", 3, 5.0)),
         row("cleared", 3, cleared=[["a", NOW + 49.0]]),
     )
-    changes = Changes(9, told)
-    rows._apply(changes, whole=True)
-    asyncio.run(rows._remove_old(changes))
+    changes = Changes(9, rows)
+    row_sync._apply(changes, whole=True)
+    asyncio.run(row_sync._remove_old(changes))
     assert [(item.writes[0].key, item.writes[0].value) for item in table.commits] == [("old", None)]
     assert table.commits[0].conditions[0].revision == 1
 
 
 def test_three_crashes_told_by_three_boxes_are_enough_and_a_row_that_cannot_be_read_harms_nobody(monkeypatch):
-    state, rows = box(monkeypatch, Table())
-    told = [row(f"b-{number}", number, ("bad", number, 1.0)) for number in (2, 3, 4)]
-    rows._apply(Changes(9, (*told, Row("b-5", "]", 5))), whole=True)
+    state, row_sync = box_with_row_sync(monkeypatch, StubTable())
+    rows = [row(f"b-{number}", number, ("bad", number, 1.0)) for number in (2, 3, 4)]
+    row_sync._apply(Changes(9, (*rows, Row("b-5", "]", 5))), whole=True)
     assert state.quarantine.remaining_s("bad") > CRASH_TTL_S - 2
-    rows._apply(Changes(10, (Row("b-4", None, 10),)), whole=False)
+    row_sync._apply(Changes(10, (Row("b-4", None, 10),)), whole=False)
     assert state.quarantine.remaining_s("bad") == 0
 
 
 def test_times_in_a_row_are_those_of_the_table_service(monkeypatch):
-    box(monkeypatch, Table())
+    box_with_row_sync(monkeypatch, StubTable())
     assert decode(row("b-2", 1, ("a", 1, 30.0)), OFFSET).crashes[0].at == NOW - 30.0
 
 
@@ -117,16 +119,16 @@
     assert not quarantine.own_crashes and not quarantine.cleared
 
 
-class HeldTable(Table):
+class LongPollTable(StubTable):
     """A table service in which nothing changes: each question for changes is held to its end."""
 
-    questions = 0
+    polls = 0
 
     async def read(self):
         return Ok(Changes(1, ()))
 
     async def follow(self, after, wait_s):
-        self.questions += 1
+        self.polls += 1
         await asyncio.sleep(wait_s)
         return Ok(Changes(after, ()))
 
@@ -137,13 +139,13 @@
     async def scenario():
         state = box_state()
         state.routers = (state.member,)
-        table = HeldTable()
-        rows, router = CrashRowSync(state, table), LocalRouter(state, Random(1))
-        following = asyncio.create_task(rows.follow())
+        table = LongPollTable()
+        row_sync, router = CrashRowSync(state, table), LocalRouter(state, Random(1))
+        follower = asyncio.create_task(row_sync.follow())
         await asyncio.sleep(0.1)
-        while table.questions < 4:
+        while table.polls < 4:
             assert router._crashes_since(-1)[0] == 1
             await asyncio.sleep(0.02)
-        following.cancel()
+        follower.cancel()
 
     asyncio.run(scenario())
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -16,30 +16,34 @@
 
 POISON = b"crash"
 PROMPT = b"a prompt, crash"
-KNOWN_S = 3.0
+MAX_PROPAGATION_S = 3.0
 """Seconds within which every box knows of a third crash: the shortest time for which a box must have been in
 touch on any deployment."""
 
 
-def arm(here: Site) -> None:
+def make_endpoints_crash(here: Site) -> None:
     for endpoint in here.endpoints:
         endpoint.crashes_on = POISON
 
 
 @asynccontextmanager
-async def armed(plain: int = 0, engines: int = 7, **bounds: float) -> AsyncIterator[Site]:
+async def site_with_crashing_endpoints(
+    plain: int = 0, engines: int = 7, **bounds: float
+) -> AsyncIterator[Site]:
     """A box whose endpoints crash on one request, and which may send as often again as it ever may."""
     async with site(plain=plain, engines=engines, budget_window_s=1, **bounds) as here:
         await here.until_slack()
-        arm(here)
+        make_endpoints_crash(here)
         yield here
 
 
-def crashed(here: Site) -> int:
+def crash_count(here: Site) -> int:
     return sum(endpoint.crashed for endpoint in here.endpoints)
 
 
-async def come(here: Site, times: int, path: str = "/again/x", name: str = "crash") -> Answer:
+async def send_crashing_requests(
+    here: Site, times: int, path: str = "/again/x", name: str = "crash"
+) -> Answer:
     """Have the request that crashes endpoints come a few times, and return its last answer."""
     for number in range(times):
         answer = await here.prompt(path, call_id=f"{name}-{number}", body=PROMPT)
@@ -48,16 +52,16 @@
     return answer
 
 
-async def known_everywhere(*sites: Site) -> None:
+async def wait_for_quarantine(*sites: Site) -> None:
     for here in sites:
-        await eventually(lambda here=here: here.logged("quarantine", outcome="begun"), KNOWN_S)
+        await eventually(lambda here=here: here.logged("quarantine", outcome="begun"), MAX_PROPAGATION_S)
 
 
 def test_a_prompt_that_comes_again_crashes_three_engines_and_no_more():
     async def scenario():
-        async with armed() as here:
-            answer = await come(here, 4)
-            assert crashed(here) == 3
+        async with site_with_crashing_endpoints() as here:
+            answer = await send_crashing_requests(here, 4)
+            assert crash_count(here) == 3
             assert answer.status == 503 and float(answer.headers["Retry-After"]) > 1
             assert (await here.prompt("/again/x", call_id="well")).status == 200
 
@@ -66,13 +70,13 @@
 
 def test_lines_and_counters_tell_of_crashes_and_of_what_is_refused_for_them():
     async def scenario():
-        async with armed() as here:
-            await come(here, 3)
+        async with site_with_crashing_endpoints() as here:
+            await send_crashing_requests(here, 3)
             await eventually(lambda: here.logged("refused", cause="quarantined", ran="not run"))
-            begun = here.logged("quarantine", outcome="begun")[0]
-            digest = begun["digest"]
+            quarantine = here.logged("quarantine", outcome="begun")[0]
+            digest = quarantine["digest"]
             lines = here.logged("crashed")
-            assert {line["life"] for line in lines} == set(begun["crashed"]) and len(lines) == 3
+            assert {line["life"] for line in lines} == set(quarantine["crashed"]) and len(lines) == 3
             assert all(line["requests"] == [digest] and not line["accepts"] for line in lines)
             assert len(here.logged("attempt_failed", digest=digest, broke=True)) == 3
             assert digest in here.logged("refused", cause="quarantined")[0]["detail"]
@@ -86,11 +90,11 @@
 
 def test_a_prompt_that_crashes_engines_after_the_head_of_its_answer_counts_as_well():
     async def scenario():
-        async with armed() as here:
+        async with site_with_crashing_endpoints() as here:
             for endpoint in here.endpoints:
                 endpoint.heard = True
-            assert (await come(here, 4)).status == 503
-            assert crashed(here) == 3
+            assert (await send_crashing_requests(here, 4)).status == 503
+            assert crash_count(here) == 3
 
     asyncio.run(scenario())
 
@@ -99,12 +103,12 @@
     async def scenario():
         async with two_boxes(engines=7, budget_window_s=1) as (first, second):
             await first.until_slack()
-            arm(first)
-            await come(first, 2)
-            assert crashed(first) == 3
-            await known_everywhere(first, second)
-            assert (await come(second, 2, name="second")).status == 503
-            assert crashed(first) == 3
+            make_endpoints_crash(first)
+            await send_crashing_requests(first, 2)
+            assert crash_count(first) == 3
+            await wait_for_quarantine(first, second)
+            assert (await send_crashing_requests(second, 2, name="second")).status == 503
+            assert crash_count(first) == 3
 
     asyncio.run(scenario())
 
@@ -112,30 +116,30 @@
 def test_crashes_at_several_boxes_count_together():
     async def scenario():
         async with two_boxes(engines=7, budget_window_s=1) as (first, second):
-            arm(first)
+            make_endpoints_crash(first)
             for here in (first, second, first):
-                await come(here, 1, path="/llm/x")
-            assert crashed(first) == 3
-            await known_everywhere(first, second)
+                await send_crashing_requests(here, 1, path="/llm/x")
+            assert crash_count(first) == 3
+            await wait_for_quarantine(first, second)
             for here in (first, second):
-                assert (await come(here, 2, path="/llm/x", name="late")).status == 503
-            assert crashed(first) == 3
+                assert (await send_crashing_requests(here, 2, path="/llm/x", name="late")).status == 503
+            assert crash_count(first) == 3
 
     asyncio.run(scenario())
 
 
 def test_a_box_that_was_started_anew_knows_of_crashes_before():
     async def scenario():
-        async with armed() as here:
-            await come(here, 2)
+        async with site_with_crashing_endpoints() as here:
+            await send_crashing_requests(here, 2)
             await eventually(lambda: here.table.get("stairquay-crashes", "box-1@127.0.0.1"))
             await here.kill_box()
             here.log_lines.clear()
             await here.start_box()
             await here.until_ready()
-            await known_everywhere(here)
-            assert (await come(here, 2)).status == 503
-            assert crashed(here) == 3
+            await wait_for_quarantine(here)
+            assert (await send_crashing_requests(here, 2)).status == 503
+            assert crash_count(here) == 3
 
     asyncio.run(scenario())
 
@@ -145,38 +149,38 @@
     endpoints had crashed was sent five times more, the first time 6 ms after a caller had sent it."""
 
     async def scenario():
-        async with armed() as here:
-            await come(here, 2)
+        async with site_with_crashing_endpoints() as here:
+            await send_crashing_requests(here, 2)
             await eventually(lambda: here.table.get("stairquay-crashes", "box-1@127.0.0.1"))
             await here.kill_box()
             here.table.late_s_by_table = {"stairquay-crashes": 1.0}
             await here.start_box()
             await here.until_ready()
-            await come(here, 3, name="just-started")
-            assert crashed(here) == 3
+            await send_crashing_requests(here, 3, name="just-started")
+            assert crash_count(here) == 3
 
     asyncio.run(scenario())
 
 
 def test_a_box_judges_by_its_own_crashes_while_the_table_service_is_away():
     async def scenario():
-        async with armed(revoke_ms=60_000, drain_ms=60_000) as here:
+        async with site_with_crashing_endpoints(revoke_ms=60_000, drain_ms=60_000) as here:
             here.table.down = True
-            await come(here, 4)
-            assert crashed(here) == 3
+            await send_crashing_requests(here, 4)
+            assert crash_count(here) == 3
 
     asyncio.run(scenario())
 
 
 def test_a_plain_request_is_no_longer_sent_either_also_one_that_must_not_repeat():
     async def scenario():
-        async with armed(plain=5, engines=0) as here:
+        async with site_with_crashing_endpoints(plain=5, engines=0) as here:
             statuses = [
                 (await here.call("/once/x", "POST", call_id=f"once-{number}", body=POISON)).status
                 for number in range(5)
             ]
             assert statuses == [502, 502, 502, 503, 503]
-            assert crashed(here) == 3
+            assert crash_count(here) == 3
             assert (await here.call("/once/x", "POST", call_id="well", body=b"well")).status == 200
             assert (await here.call("/once/y", "POST", call_id="other", body=POISON)).status == 502
 
@@ -185,11 +189,11 @@
 
 def test_a_stream_that_is_resumed_counts_as_the_same_request():
     async def scenario():
-        async with armed() as here:
-            await come(here, 2)
+        async with site_with_crashing_endpoints() as here:
+            await send_crashing_requests(here, 2)
             answer = await here.prompt("/again/x", call_id="on", body=PROMPT, headers={"Last-Event-Id": "3"})
             assert answer.status == 503
-            assert crashed(here) == 3
+            assert crash_count(here) == 3
 
     asyncio.run(scenario())
 
@@ -215,7 +219,7 @@
         async with site(plain=6, budget_window_s=1) as here:
             assert (await here.call("/open/x", key=None)).status == 200
             for number in range(4):
-                await lose_one(here, f"lost-{number}")
+                await crash_holder(here, f"lost-{number}")
             assert len(here.logged("crashed")) == 4
             assert not here.logged("quarantine", outcome="begun")
             assert (await here.call("/open/x", key=None, call_id="well")).status == 200
@@ -223,19 +227,19 @@
     asyncio.run(scenario())
 
 
-async def lose_one(here: Site, call_id: str) -> None:
+async def crash_holder(here: Site, call_id: str) -> None:
     """Have the endpoint crash that has the request that many send."""
-    seen = len(here.logged("crashed"))
+    crashes_before = len(here.logged("crashed"))
     for endpoint in here.endpoints:
         endpoint.hold_s = 0.3
-    calling = asyncio.create_task(here.call("/open/x", key=None, call_id=call_id))
-    await eventually(lambda: having(here, call_id))
+    call = asyncio.create_task(here.call("/open/x", key=None, call_id=call_id))
+    await eventually(lambda: endpoints_holding(here, call_id))
     for endpoint in here.endpoints:
         endpoint.hold_s = 0.0
-    having(here, call_id)[0].crash()
-    await calling
-    await eventually(lambda: len(here.logged("crashed")) > seen)
+    endpoints_holding(here, call_id)[0].crash()
+    await call
+    await eventually(lambda: len(here.logged("crashed")) > crashes_before)
 
 
-def having(here: Site, call_id: str) -> list[Endpoint]:
+def endpoints_holding(here: Site, call_id: str) -> list[Endpoint]:
     return [item for item in here.endpoints if any(taken.id == call_id for taken in item.taken)]
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -12,9 +12,9 @@
 
 from tests.many_boxes import two_boxes
 from tests.site import KEY, Site, configuration, eventually, name_version, site
-from tests.test_crashes import arm, come, crashed, known_everywhere
+from tests.test_crashes import crash_count, make_endpoints_crash, send_crashing_requests, wait_for_quarantine
 
-KNOWN_S = 3.0
+MAX_PROPAGATION_S = 3.0
 """Seconds after which a change of operators' rows must be known to the box of a small site."""
 
 REVOKED_S = 5.0
@@ -67,7 +67,7 @@
             await lose_seconds(here, others, lambda: None)
             await asyncio.sleep(1.0)
             here.table.put("op", "evacuate/hall-a", {})
-            await asyncio.sleep(KNOWN_S)
+            await asyncio.sleep(MAX_PROPAGATION_S)
             before = len(here.endpoints[0].taken)
             for number in range(10):
                 assert (await here.call("/plain/x", call_id=f"call-{number}")).status == 200
@@ -88,7 +88,7 @@
 
             await lose_seconds(here, others, lambda: None)
             here.table.remove("op", "evacuate/hall-a")
-            await eventually(lambda: here.logged("evacuation", outcome="returned"), 2 * KNOWN_S)
+            await eventually(lambda: here.logged("evacuation", outcome="returned"), 2 * MAX_PROPAGATION_S)
 
     asyncio.run(scenario())
 
@@ -141,17 +141,17 @@
     async def scenario():
         async with two_boxes(plain=0, engines=7, budget_window_s=1) as (first, second):
             await first.until_slack()
-            arm(first)
+            make_endpoints_crash(first)
             copy = first.table.copy()
-            await come(first, 2)
-            assert crashed(first) == 3
-            await known_everywhere(first, second)
+            await send_crashing_requests(first, 2)
+            assert crash_count(first) == 3
+            await wait_for_quarantine(first, second)
             first.table.down = True
             await asyncio.sleep(AWAY_S)
             first.table.restore(copy)
             first.table.down = False
-            await asyncio.sleep(2 * KNOWN_S)
-            assert (await come(second, 1, name="after")).status == 503
-            assert crashed(first) == 3
+            await asyncio.sleep(2 * MAX_PROPAGATION_S)
+            assert (await send_crashing_requests(second, 1, name="after")).status == 503
+            assert crash_count(first) == 3
 
     asyncio.run(scenario())
