--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,29 +10,29 @@
 from stairquay.status import ExitStatus
 
 
-class Reader:
+class StubReader:
     """Standard output whose reader may stall or go away."""
 
     def __init__(self) -> None:
         self.data = b""
         self.stalled = False
         self.gone = False
-        self.takes = 10**9
+        self.max_write_bytes = 10**9
 
     def write(self, data: bytes) -> int:
         if self.gone:
             raise BrokenPipeError
         if self.stalled:
             raise BlockingIOError
-        self.data += data[: self.takes]
-        return min(len(data), self.takes)
+        self.data += data[: self.max_write_bytes]
+        return min(len(data), self.max_write_bytes)
 
     def lines(self) -> list[dict]:
         return [json.loads(line) for line in self.data.splitlines()]
 
 
 def test_a_line_has_its_time_box_kind_request_and_inputs():
-    reader = Reader()
+    reader = StubReader()
     log = EventLog("box-1", reader.write)
     log.line(LogEvent.SENT, "r-1", endpoint="e", view_age_s=0.123456, fetch=["a", ""])
     log.flush()
@@ -45,7 +45,7 @@
 def test_a_stalled_reader_delays_nothing_and_what_is_left_out_is_told(monkeypatch):
     # Lines are bounded by the second: these must not fall into two of them.
     monkeypatch.setattr("stairquay.serving.event_log.monotonic", lambda: 5.0)
-    reader = Reader()
+    reader = StubReader()
     reader.stalled = True
     log = EventLog("box-1", reader.write)
     for kind in (LogEvent.SENT, LogEvent.ENDED, LogEvent.REFUSED):
@@ -57,13 +57,13 @@
     log.flush()
     log.flush()
     lines = reader.lines()
-    left_out = [line for line in lines if line["kind"] == "left_out"]
-    assert sum(sum(line["lines"].values()) for line in left_out) == log.dropped_total == 150
+    dropped = [line for line in lines if line["kind"] == "left_out"]
+    assert sum(sum(line["lines"].values()) for line in dropped) == log.dropped_total == 150
     assert sum(line["kind"] == "sent" for line in lines) == MAX_LINES_PER_S
 
 
 def test_a_queue_that_is_full_keeps_its_size():
-    reader = Reader()
+    reader = StubReader()
     reader.stalled = True
     log = EventLog("box-1", reader.write)
     for number in range(MAX_QUEUED_LINES * 2):
@@ -73,8 +73,8 @@
 
 
 def test_lines_that_are_taken_in_pieces_stay_whole():
-    reader = Reader()
-    reader.takes = 7
+    reader = StubReader()
+    reader.max_write_bytes = 7
     log = EventLog("box-1", reader.write)
     for number in range(20):
         log.line(LogEvent.ENDED, f"r-{number}", outcome="answered")
@@ -83,7 +83,7 @@
 
 
 def test_a_reader_that_went_away_ends_the_log_and_nothing_else():
-    reader = Reader()
+    reader = StubReader()
     reader.gone = True
     log = EventLog("box-1", reader.write)
     log.line(LogEvent.START)
@@ -107,17 +107,17 @@
 def test_a_story_has_the_requests_lines_and_what_its_box_believed_and_says_what_is_missing():
     logs = Logs()
     logs.read(LOG.splitlines())
-    told = explain_request(logs, "r-1")
-    assert told[0] == "request r-1, first seen at 13.000 by b1"
-    assert "-3.000 s  b1  dependency" in told[1] and "view_age_s=0.8" in told[1]
-    assert told[2].startswith("> ") and "e-1" in told[2]
-    assert "cause=not_ready ran=not_run" in told[3]
-    assert any("left out" in line for line in told) and "1 lines" in told[-1]
-    assert not any("r-2" in line or "b2" in line for line in told)
+    explanation = explain_request(logs, "r-1")
+    assert explanation[0] == "request r-1, first seen at 13.000 by b1"
+    assert "-3.000 s  b1  dependency" in explanation[1] and "view_age_s=0.8" in explanation[1]
+    assert explanation[2].startswith("> ") and "e-1" in explanation[2]
+    assert "cause=not_ready ran=not_run" in explanation[3]
+    assert any("left out" in line for line in explanation) and "1 lines" in explanation[-1]
+    assert not any("r-2" in line or "b2" in line for line in explanation)
     assert explain_request(logs, "r-9") == []
 
 
-def shell(*args: str, stdin: str = "") -> tuple[int, str, str]:
+def run_cli(*args: str, stdin: str = "") -> tuple[int, str, str]:
     env = Environment(io.StringIO(stdin), io.StringIO(), io.StringIO(), {})
     status = main(args, env)
     return status, env.stdout.getvalue(), env.stderr.getvalue()
@@ -126,10 +126,10 @@
 def test_explain_reads_files_and_standard_input(tmp_path):
     file = tmp_path / "b1.log"
     file.write_text(LOG)
-    status, out, _ = shell("explain", "r-1", str(file))
+    status, out, _ = run_cli("explain", "r-1", str(file))
     assert status == ExitStatus.SUCCESS and "not_ready" in out
-    assert shell("explain", "r-1", stdin=LOG)[0] == ExitStatus.SUCCESS
-    assert shell("explain", "r-9", str(file))[0] == ExitStatus.ERROR
-    assert shell("explain")[0] == ExitStatus.USAGE
-    status, _, complaint = shell("explain", "r-1", str(tmp_path / "none"))
-    assert status == ExitStatus.ERROR and "none" in complaint
+    assert run_cli("explain", "r-1", stdin=LOG)[0] == ExitStatus.SUCCESS
+    assert run_cli("explain", "r-9", str(file))[0] == ExitStatus.ERROR
+    assert run_cli("explain")[0] == ExitStatus.USAGE
+    status, _, error = run_cli("explain", "r-1", str(tmp_path / "none"))
+    assert status == ExitStatus.ERROR and "none" in error
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -12,7 +12,7 @@
 from stairquay.platform.peers import WireCacheEvents, WireCacheSnapshot, WireReport
 from stairquay.platform.rows import WireRow, WireRows, decode_row
 
-GOOD = {
+VALID_ENTRY = {
     "service": "plain",
     "address": "127.0.0.1:9",
     "zone": "hall-a",
@@ -27,9 +27,9 @@
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(TEXTS, inner, max_size=3),
     max_leaves=5,
 )
-FIELDS = sorted({*GOOD, "models", "cold_remaining_ms", "sequence"})
+FIELDS = sorted({*VALID_ENTRY, "models", "cold_remaining_ms", "sequence"})
 ENTRIES = st.dictionaries(st.sampled_from(FIELDS), VALUES).map(
-    lambda odd: json.dumps({**GOOD, **odd}).encode()
+    lambda overrides: json.dumps({**VALID_ENTRY, **overrides}).encode()
 )
 CONTENTS = st.binary(max_size=60) | ENTRIES | VALUES.map(lambda value: json.dumps(value).encode())
 
@@ -41,10 +41,10 @@
 
 @given(st.dictionaries(st.sampled_from(["x-1", "x-2", "x-3"]), CONTENTS))
 def test_an_entry_of_the_list_names_an_endpoint_or_says_why_not_and_the_others_hold(contents):
-    good = {"good": json.dumps(GOOD).encode()}
-    changes = endpoint_changes(rows_of("servers", {**contents, **good}), whole=False)
+    valid = {"good": json.dumps(VALID_ENTRY).encode()}
+    changes = endpoint_changes(rows_of("servers", {**contents, **valid}), whole=False)
     present = {item.id: item for item in changes.present}
-    assert present["good"].address == GOOD["address"] and present["good"].born == 7
+    assert present["good"].address == VALID_ENTRY["address"] and present["good"].born == 7
     assert present.keys() | changes.unreadable.keys() == {*contents, "good"}
     assert set(changes.gone) == changes.unreadable.keys()
     for endpoint in changes.present:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -12,21 +12,21 @@
 
 def test_a_slot_granted_in_the_moment_of_giving_up_is_used_and_not_lost():
     async def race():
-        gate = ConcurrencyLimiter(FairQueue(slots=1, max_wait_s=9.0))
-        first = (await gate.acquire(Workspace("w"), 1.0)).unwrap()
+        limiter = ConcurrencyLimiter(FairQueue(slots=1, max_wait_s=9.0))
+        first = (await limiter.acquire(Workspace("w"), 1.0)).unwrap()
         loop = asyncio.get_running_loop()
-        waiting = asyncio.create_task(gate.acquire(Workspace("w"), 0.05))
+        waiting = asyncio.create_task(limiter.acquire(Workspace("w"), 0.05))
         await asyncio.sleep(0)
         due = loop.time() + 0.05
-        loop.call_at(due - 0.0005, blocked_until, loop, due + 0.01, first)
-        entered = await waiting
-        assert gate.queue.running == gate.queue.starting == (1 if entered.is_ok() else 0)
-        assert not gate.waiting
+        loop.call_at(due - 0.0005, release_and_block, loop, due + 0.01, first)
+        acquired = await waiting
+        assert limiter.queue.running == limiter.queue.starting == (1 if acquired.is_ok() else 0)
+        assert not limiter.waiting
 
-    def blocked_until(loop, moment, admission):
+    def release_and_block(loop, until, permit):
         """Free the slot, and keep the loop busy until the time-out is due as well."""
-        admission.release()
-        while loop.time() < moment:
+        permit.release()
+        while loop.time() < until:
             pass
 
     asyncio.run(race())
@@ -36,28 +36,28 @@
     """The time-out cancels what the request waits for before the request itself hears of it."""
 
     async def race():
-        gate = ConcurrencyLimiter(FairQueue(slots=1, max_wait_s=9.0))
-        first = (await gate.acquire(Workspace("w"), 1.0)).unwrap()
+        limiter = ConcurrencyLimiter(FairQueue(slots=1, max_wait_s=9.0))
+        first = (await limiter.acquire(Workspace("w"), 1.0)).unwrap()
         loop = asyncio.get_running_loop()
-        waiting = asyncio.create_task(gate.acquire(Workspace("w"), 0.05))
+        waiting = asyncio.create_task(limiter.acquire(Workspace("w"), 0.05))
         await asyncio.sleep(0)
         due = loop.time() + 0.05
         failed = []
-        loop.call_at(due - 0.001, blocked, loop, due + 0.01)
+        loop.call_at(due - 0.001, block_loop, loop, due + 0.01)
         # Both are due by then; the time-out comes first.
-        loop.call_at(due + 0.002, leave, first, failed)
-        entered = await waiting
+        loop.call_at(due + 0.002, release_permit, first, failed)
+        acquired = await waiting
         assert not failed
-        assert gate.queue.running == gate.queue.starting == (1 if entered.is_ok() else 0)
-        assert not gate.waiting
+        assert limiter.queue.running == limiter.queue.starting == (1 if acquired.is_ok() else 0)
+        assert not limiter.waiting
 
-    def blocked(loop, moment):
-        while loop.time() < moment:
+    def block_loop(loop, until):
+        while loop.time() < until:
             pass
 
-    def leave(admission, failed):
+    def release_permit(permit, failed):
         try:
-            admission.release()
+            permit.release()
         except asyncio.InvalidStateError as error:
             failed.append(error)
 
@@ -65,10 +65,10 @@
 
 
 def test_a_listed_endpoint_without_an_address_is_left_out():
-    broken = Box("e", BoxKind.ENGINE, {})
-    whole = Box("f", BoxKind.ENGINE, {"http": "192.0.2.1:1"})
+    without_address = Box("e", BoxKind.ENGINE, {})
+    with_address = Box("f", BoxKind.ENGINE, {"http": "192.0.2.1:1"})
     membership = Membership()
-    membership.on_list(BoxList(2, (broken, whole)))
+    membership.on_list(BoxList(2, (without_address, with_address)))
     assert membership.usable("e") is None and membership.usable("f") is not None
     assert "e" not in membership.boxes.by_id
 
@@ -79,6 +79,6 @@
         Row("config/workspace/b", '{"id": 7}', 2),
         Row("config/workspace/c", "no json", 3),
     )
-    held = merge(Configuration(), rows, 3)
-    assert set(held.workspaces) == {"a"}
-    assert held.unreadable_keys == ("config/workspace/b", "config/workspace/c")
+    configuration = merge(Configuration(), rows, 3)
+    assert set(configuration.workspaces) == {"a"}
+    assert configuration.unreadable_keys == ("config/workspace/b", "config/workspace/c")
