--- a/tests/test_reading_once.py
+++ b/tests/test_reading_once.py
@@ -19,61 +19,61 @@
 PARTS = (PromptPart("aa", 8_000), PromptPart("bb", 300), PromptPart("own", 100))
 
 
-def question(ticket: str, **fields) -> PlaceRequest:
+def place_request(ticket: str, **fields) -> PlaceRequest:
     base = {"service": "llm", "model": "m", "parts": PARTS, "tokens": 8_400, "max_output": 20}
     return PlaceRequest(**(base | {"ticket": ticket, "box": "b-2", "wall": "", "tried": ()} | fields))
 
 
 def test_a_prompt_waits_for_a_part_that_is_being_read_and_then_reads_its_own_part_alone():
-    part = LocalRouter(router_state(4), Random(1))
-    first = part.place(question("t0", may_wait=True))
+    local_router = LocalRouter(router_state(4), Random(1))
+    first = local_router.place(place_request("t0", may_wait=True))
     assert first.again_s == 0 and first.read == 8_400
-    assert part.place(question("t1", may_wait=True)).again_s > 0
-    part.prefill_finished("t0")
-    later = part.place(question("t1", may_wait=True))
-    assert (later.again_s, later.reused + later.fetched, later.read) == (0, 8_300, 100)
+    assert local_router.place(place_request("t1", may_wait=True)).again_s > 0
+    local_router.prefill_finished("t0")
+    second = local_router.place(place_request("t1", may_wait=True))
+    assert (second.again_s, second.reused + second.fetched, second.read) == (0, 8_300, 100)
 
 
 def test_a_prompt_that_waits_counts_nowhere():
     state = router_state(1)
-    part = LocalRouter(state, Random(1))
-    part.place(question("t0", may_wait=True))
-    part.place(question("t1", may_wait=True))
-    assert list(part.placed_by_ticket) == ["t0"] and state.endpoints_by_id["e-0"].in_flight == 1
+    local_router = LocalRouter(state, Random(1))
+    local_router.place(place_request("t0", may_wait=True))
+    local_router.place(place_request("t1", may_wait=True))
+    assert list(local_router.placed_by_ticket) == ["t0"] and state.endpoints_by_id["e-0"].in_flight == 1
 
 
 def test_nobody_waits_who_must_not_or_for_little_or_for_what_was_not_read():
-    part = LocalRouter(router_state(4), Random(1))
-    part.place(question("t0"))
-    assert part.place(question("t1")).again_s == 0
-    part.finished(EndedAttempt("t1"))
+    local_router = LocalRouter(router_state(4), Random(1))
+    local_router.place(place_request("t0"))
+    assert local_router.place(place_request("t1")).again_s == 0
+    local_router.finished(EndedAttempt("t1"))
     small = (PromptPart("aa", 8_000), PromptPart("cc", 300), PromptPart("own", 100))
-    part.prefill_finished("t0")
-    assert part.place(question("t2", parts=small, may_wait=True)).again_s == 0
+    local_router.prefill_finished("t0")
+    assert local_router.place(place_request("t2", parts=small, may_wait=True)).again_s == 0
     for outcome in (Outcome.NOT_SENT, Outcome.TURNED_AWAY, Outcome.FAILED, Outcome.UNREACHED):
         other = LocalRouter(router_state(1), Random(1))
-        other.place(question("t0"))
+        other.place(place_request("t0"))
         other.finished(EndedAttempt("t0", outcome))
-        assert other.place(question("t1", may_wait=True)).again_s == 0
+        assert other.place(place_request("t1", may_wait=True)).again_s == 0
 
 
 def test_nobody_waits_long_for_an_engine_that_should_have_read_by_now(monkeypatch):
-    part = LocalRouter(router_state(4), Random(1))
-    part.place(question("t0"))
-    placed = part.placed_by_ticket["t0"]
+    local_router = LocalRouter(router_state(4), Random(1))
+    local_router.place(place_request("t0"))
+    placed = local_router.placed_by_ticket["t0"]
     monkeypatch.setattr("stairquay.serving.local_router.monotonic", lambda: placed.at + PREFILL_TIMEOUT_S)
-    assert part.place(question("t1", may_wait=True)).again_s == 0
+    assert local_router.place(place_request("t1", may_wait=True)).again_s == 0
 
 
 def test_a_router_takes_a_notice_of_what_was_read():
     async def scenario():
-        async with routing(engines=2) as (here, link):
+        async with routing(engines=2) as (here, client):
             await eventually(lambda: all(engine.asked_report for engine in here.engines()))
-            assert (await link.place(question("t0"), 1.0)).read == 8_400
-            assert (await link.place(question("t1", may_wait=True), 1.0)).again_s > 0
-            await link.finished(FinishedNotice((), ("t0",)), 1.0)
-            later = await link.place(question("t1", may_wait=True), 1.0)
-            assert (later.reused + later.fetched, later.read, later.scope) == (8_300, 100, SCOPE)
+            assert (await client.place(place_request("t0"), 1.0)).read == 8_400
+            assert (await client.place(place_request("t1", may_wait=True), 1.0)).again_s > 0
+            await client.finished(FinishedNotice((), ("t0",)), 1.0)
+            second = await client.place(place_request("t1", may_wait=True), 1.0)
+            assert (second.reused + second.fetched, second.read, second.scope) == (8_300, 100, SCOPE)
 
     asyncio.run(scenario())
 
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -17,40 +17,40 @@
 MAX_PROPAGATION_S = 3.0
 """Seconds after which a change of operators' rows must be known to the box of a small site."""
 
-REVOKED_S = 5.0
+MAX_REVOCATION_S = 5.0
 """Seconds after which a key that was taken away must not be used any more."""
 
 LOST_WRITES = 500
 """Rows written since the copy was made: endpoints write theirs each second."""
 
-AWAY_S = 0.5
+OUTAGE_S = 0.5
 
 
-def write_others(here: Site, count: int) -> None:
+def write_unrelated_rows(here: Site, count: int) -> None:
     """Write rows of a table that nobody follows, so that the table service's numbers go on."""
     for number in range(count):
         here.table.put("elsewhere", "row", number)
 
 
-async def lose_seconds(
-    here: Site, since_copy: Callable[[], Awaitable[None]], again: Callable[[], None]
+async def restore_older_copy(
+    here: Site, write_after_copy: Callable[[], Awaitable[None]], write_again: Callable[[], None]
 ) -> None:
     """Have things written after a copy, then have the table service come back from it. `again` writes what
     operators and endpoints had written since."""
     copy = here.table.copy()
-    await since_copy()
+    await write_after_copy()
     here.table.down = True
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(OUTAGE_S)
     here.table.restore(copy)
-    again()
+    write_again()
     here.table.down = False
 
 
-async def nothing() -> None:
+async def write_nothing() -> None:
     """Have nothing written but what goes on by itself."""
 
 
-def without_key(here: Site) -> list[dict]:
+def workspaces_without_key(here: Site) -> list[dict]:
     """Return the workspaces, without the key that callers use."""
     tenants = configuration(1, here.stores)["tenants"]
     return [tenant for tenant in tenants if KEY not in tenant["api_keys"]]
@@ -60,11 +60,11 @@
     async def scenario():
         async with site(plain=2, halls=("hall-a", "hall-b")) as here:
 
-            async def others() -> None:
-                write_others(here, LOST_WRITES)
+            async def write_after_copy() -> None:
+                write_unrelated_rows(here, LOST_WRITES)
                 await asyncio.sleep(2.0)
 
-            await lose_seconds(here, others, lambda: None)
+            await restore_older_copy(here, write_after_copy, lambda: None)
             await asyncio.sleep(1.0)
             here.table.put("op", "evacuate/hall-a", {})
             await asyncio.sleep(MAX_PROPAGATION_S)
@@ -82,11 +82,11 @@
             here.table.put("op", "evacuate/hall-a", {})
             await eventually(lambda: here.logged("evacuation", outcome="evacuated"))
 
-            async def others() -> None:
-                write_others(here, LOST_WRITES)
+            async def write_after_copy() -> None:
+                write_unrelated_rows(here, LOST_WRITES)
                 await asyncio.sleep(2.0)
 
-            await lose_seconds(here, others, lambda: None)
+            await restore_older_copy(here, write_after_copy, lambda: None)
             here.table.remove("op", "evacuate/hall-a")
             await eventually(lambda: here.logged("evacuation", outcome="returned"), 2 * MAX_PROPAGATION_S)
 
@@ -97,16 +97,16 @@
     async def scenario():
         async with site(plain=1) as here:
 
-            async def others() -> None:
-                write_others(here, LOST_WRITES)
+            async def write_after_copy() -> None:
+                write_unrelated_rows(here, LOST_WRITES)
                 await asyncio.sleep(1.5)
 
-            def again() -> None:
-                here.put_configuration(2, tenants=without_key(here))
-                write_others(here, 2 * LOST_WRITES)
+            def write_again() -> None:
+                here.put_configuration(2, tenants=workspaces_without_key(here))
+                write_unrelated_rows(here, 2 * LOST_WRITES)
 
-            await lose_seconds(here, others, again)
-            await asyncio.sleep(REVOKED_S)
+            await restore_older_copy(here, write_after_copy, write_again)
+            await asyncio.sleep(MAX_REVOCATION_S)
             assert (await here.call("/plain/x")).status == 401
 
     asyncio.run(scenario())
@@ -125,14 +125,14 @@
             leader = first if first.logged("lease", outcome="taken") else second
             await leader.kill_box()
             first.table.down = True
-            await asyncio.sleep(AWAY_S)
+            await asyncio.sleep(OUTAGE_S)
             first.table.restore(copy)
             name_version(first, 2)
             first.table.down = False
             name_version(first, 3)
             await eventually(lambda: engine.version == 3, 15.0)
-            fences = {order["holder"]: order["fencing_token"] for order in engine.orders}
-            assert len(fences) == 2 and len(set(fences.values())) == 2
+            tokens_by_holder = {order["holder"]: order["fencing_token"] for order in engine.orders}
+            assert len(tokens_by_holder) == 2 and len(set(tokens_by_holder.values())) == 2
 
     asyncio.run(scenario())
 
@@ -147,7 +147,7 @@
             assert crash_count(first) == 3
             await wait_for_quarantine(first, second)
             first.table.down = True
-            await asyncio.sleep(AWAY_S)
+            await asyncio.sleep(OUTAGE_S)
             first.table.restore(copy)
             first.table.down = False
             await asyncio.sleep(2 * MAX_PROPAGATION_S)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -24,18 +24,18 @@
 @pytest.fixture
 def suspend(monkeypatch):
     """Return a function that has the machine suspended: only the clock that counts such times goes on."""
-    passed = 0.0
-    real = time.clock_gettime
+    suspended_s = 0.0
+    real_clock_gettime = time.clock_gettime
 
     def clock_gettime(clock: int) -> float:
-        return real(clock) + (passed if clock == time.CLOCK_BOOTTIME else 0.0)
+        return real_clock_gettime(clock) + (suspended_s if clock == time.CLOCK_BOOTTIME else 0.0)
 
-    def go() -> None:
-        nonlocal passed
-        passed += SUSPENDED_S
+    def advance_clock() -> None:
+        nonlocal suspended_s
+        suspended_s += SUSPENDED_S
 
     monkeypatch.setattr("time.clock_gettime", clock_gettime)
-    return go
+    return advance_clock
 
 
 def now_of(module: str) -> float:
@@ -48,13 +48,13 @@
     apply_operators(state, OperatorChanges(1, True), now_of("following"))
     apply_endpoints(state, EndpointChanges(1, True), now_of("following"))
     state.suspect("box-2", 3.0)
-    giver = RolloutController(state, None, None)
-    giver.held_lease = HeldLease(LeaseRow("b-1", 1, 3.0), 1, now_of("orders"))
-    assert state.keys_fresh() and giver.held_lease.may_act(now_of("orders"))
+    controller = RolloutController(state, None, None)
+    controller.held_lease = HeldLease(LeaseRow("b-1", 1, 3.0), 1, now_of("orders"))
+    assert state.keys_fresh() and controller.held_lease.may_act(now_of("orders"))
     suspend()
     assert not state.keys_fresh()
     assert state.view_age() >= SUSPENDED_S and state.list_age() >= SUSPENDED_S
-    assert not giver.held_lease.may_act(now_of("orders"))
+    assert not controller.held_lease.may_act(now_of("orders"))
     assert state.suspected_until_by_id["box-2"] < now_of("state")
 
 
@@ -65,12 +65,12 @@
     async def box(*_: object) -> None:
         loop = asyncio.get_running_loop()
         loop.call_later(0.05, suspend)
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(SUSPENDED_S):
                 while True:
                     await asyncio.sleep(0.02)
-        took_s.append(time.perf_counter() - began)
+        took_s.append(time.perf_counter() - started_at)
 
     monkeypatch.setattr("stairquay.serving.app.run_box", box)
     settings = tmp_path / "local.toml"
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -32,15 +32,15 @@
     st.floats(0, 1e3),
 )
 @example(256.0, [(0.0, 0.0, 0.0), (255.9999999999999, 0.3377974098528163, 0.0)], 0.0)
-def test_a_time_by_another_clock_is_never_taken_for_later_than_it_was(offset_s, answers, at):
+def test_a_time_by_another_clock_is_never_taken_for_later_than_it_was(offset_s, exchanges, at):
     known: ClockOffset | None = None
-    for asked_at, there_s, back_s in answers:
-        read_at = asked_at + there_s
-        told = ClockOffset.from_exchange(read_at + offset_s, asked_at, read_at + back_s)
-        known = told if known is None else known.narrowed(told)
+    for asked_at, request_s, response_s in exchanges:
+        received_at = asked_at + request_s
+        offset = ClockOffset.from_exchange(received_at + offset_s, asked_at, received_at + response_s)
+        known = offset if known is None else known.narrowed(offset)
     assert known is not None
-    quickest_s = min(there_s + back_s for _, there_s, back_s in answers)
-    assert at - quickest_s - 1e-6 <= known.to_local(at + offset_s) <= at + 1e-6
+    shortest_s = min(request_s + response_s for _, request_s, response_s in exchanges)
+    assert at - shortest_s - 1e-6 <= known.to_local(at + offset_s) <= at + 1e-6
     assert known.to_remote(at) <= at + offset_s + 1e-6
 
 
@@ -49,7 +49,7 @@
     assert (known.to_local(30.0), known.to_remote(20.2)) == (20.0, 30.0)
 
 
-async def take_rows(table: TableService, boxes: BoxRegistry) -> None:
+async def read_box_rows(table: TableService, boxes: BoxRegistry) -> None:
     found = await boxes.own.list_prefix(KEY_PREFIX)
     boxes._apply_rows(found.ok_value)
 
@@ -69,7 +69,7 @@
                 viewed_at = monotonic() - 5.0
                 table.put(OWN_TABLE, KEY_PREFIX + "other", {"beat": 3, "viewed_at_s": now_ms() / 1000 - 5.0})
                 table.late_s_by_table = {OWN_TABLE: 0.5}
-                await take_rows(table, boxes)
+                await read_box_rows(table, boxes)
                 assert viewed_at - 0.7 <= state.last_view_before_start <= viewed_at + 0.05
         finally:
             await table.runner.cleanup()
@@ -122,10 +122,10 @@
     and engines take up to twice as long as predicted."""
     sent_by_tokens = {}
     for tokens in (100, 10_000, 30_000, 60_000):
-        wanted = ChoiceRequest(
+        request = ChoiceRequest(
             CATALOG.services_by_id["llm"], PromptShape("m", (Part("aa", tokens),), tokens, 20)
         )
-        choice = choose_endpoint(state_with_old_weights(11.0), CATALOG, wanted, Random(1))
+        choice = choose_endpoint(state_with_old_weights(11.0), CATALOG, request, Random(1))
         sent_by_tokens[tokens] = choice is not None
     assert sent_by_tokens == {100: True, 10_000: False, 30_000: False, 60_000: False}
 
@@ -153,7 +153,7 @@
     table.put(OWN_TABLE, KEY_PREFIX + "other", row)
     try:
         async with ClientSession() as session:
-            await take_rows(
+            await read_box_rows(
                 table, BoxRegistry(state, OwnRows(TableClient(table.address, session)), Random(1))
             )
             return state.replaced_for_s("m", 1)
@@ -169,10 +169,10 @@
         long_ago_s = now_ms() / 1000 - 17.0
         row = {"beat": 3, "named": [{"model": "m", "version": 2, "at_s": long_ago_s}]}
         now = monotonic()
-        saw_it_come = box_state()
-        show_versions(saw_it_come, {"m": 1}, now - 2.0)
-        show_versions(saw_it_come, {"m": 2}, now - 1.0)
-        assert 1.9 < await learned_age_s(saw_it_come, row) < 4.0
+        saw_change = box_state()
+        show_versions(saw_change, {"m": 1}, now - 2.0)
+        show_versions(saw_change, {"m": 2}, now - 1.0)
+        assert 1.9 < await learned_age_s(saw_change, row) < 4.0
         started_later = box_state()
         show_versions(started_later, {"m": 2}, now)
         assert 16.9 < await learned_age_s(started_later, row) < 19.0
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -9,7 +9,7 @@
 from stairquay.serving.boxes import KEY_PREFIX
 from tests.site import box_rows, eventually, name_version, site
 
-LIMIT_MS = 1_500
+MAX_VERSION_AGE_MS = 1_500
 """Milliseconds after which nothing may begin on replaced weights, on the sites here."""
 
 
@@ -37,14 +37,14 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 40), st.floats(0, 1e6)), min_size=1), st.integers(0, 40))
-def test_what_is_forgotten_never_makes_weights_look_younger(seen, version):
+def test_what_is_forgotten_never_makes_weights_look_younger(changes, version):
     history = VersionHistory()
-    for item in seen:
+    for item in changes:
         history.record(*item)
-    true = min((at for newer, at in seen if newer > version), default=None)
-    believed = history.replaced_at(version)
+    exact = min((at for newer, at in changes if newer > version), default=None)
+    recorded = history.replaced_at(version)
     assert len(history.records) <= MAX_RECORDS
-    assert (believed is None) if true is None else (believed is not None and believed <= true)
+    assert (recorded is None) if exact is None else (recorded is not None and recorded <= exact)
 
 
 def test_nothing_begins_on_an_engine_that_a_row_of_versions_left_behind():
@@ -54,7 +54,7 @@
     Shown by two versions in a row and an engine that never finishes loading."""
 
     async def scenario():
-        async with site(plain=0, engines=1, version_ms=LIMIT_MS) as here:
+        async with site(plain=0, engines=1, version_ms=MAX_VERSION_AGE_MS) as here:
             here.engines()[0].load_s = 60.0
             for version in (2, 3):
                 name_version(here, version)
@@ -77,15 +77,15 @@
             await eventually(lambda: here.logged("sent", request="call-1"))
             assert 0.5 <= here.logged("sent", request="call-1")[0]["replaced_s"] < 5.0
             lines = (await here.metrics()).splitlines()
-            shown = [line for line in lines if line.startswith("stairquay_weights_replaced_seconds ")]
-            assert 0.5 <= float(shown[0].rpartition(" ")[2]) < 8.0
+            samples = [line for line in lines if line.startswith("stairquay_weights_replaced_seconds ")]
+            assert 0.5 <= float(samples[0].rpartition(" ")[2]) < 8.0
 
     asyncio.run(scenario())
 
 
 def test_a_box_that_was_started_anew_knows_for_how_long_weights_have_been_replaced():
     async def scenario():
-        async with site(plain=0, engines=1, version_ms=2 * LIMIT_MS) as here:
+        async with site(plain=0, engines=1, version_ms=2 * MAX_VERSION_AGE_MS) as here:
             here.engines()[0].load_s = 60.0
             name_version(here, 2)
             await eventually(lambda: here.logged("version_named", version=2))
@@ -109,7 +109,7 @@
     """
 
     async def scenario():
-        async with site(plain=0, engines=1, version_ms=2 * LIMIT_MS) as here:
+        async with site(plain=0, engines=1, version_ms=2 * MAX_VERSION_AGE_MS) as here:
             here.engines()[0].load_s = 60.0
             # A box that is lost before it wrote its first row leaves no view behind.
             await eventually(lambda: box_rows(here) and box_rows(here)[0]["viewed_at_s"] is not None)
