--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -18,7 +18,7 @@
 from tests.site import Site
 from tests.standins.dialect import Endpoint
 
-TOLD_S = 3.0
+MAX_PROPAGATION_S = 3.0
 """Seconds after a third crash from which boxes must know of it: the shortest bound of any deployment."""
 
 MAX_LATE = 3
@@ -26,17 +26,17 @@
 
 NEVER = float("-inf")
 OUTAGE_S = 2.0
-DOWN_S = 1.5
+RESTART_DELAY_S = 1.5
 """Seconds for which the table service is away, and an endpoint that crashed."""
 
-REQUESTS_S = 30
+REQUESTS_PER_S = 30
 """Requests a second, at any box, that crash nothing."""
 
-NEW_POISON_S = 6.0
+NEW_POISON_INTERVAL_S = 6.0
 """Seconds after which callers have another request that crashes endpoints, beside those before; each third
 one goes to a plain service."""
 
-POISONS_S = 2.0
+POISONS_PER_S = 2.0
 """Comings of such requests a second."""
 
 
@@ -54,20 +54,20 @@
 class Soak:
     """The boxes, and what befalls them."""
 
-    def __init__(self, boxes: list[Site], chance: Random, seconds: float) -> None:
+    def __init__(self, boxes: list[Site], random: Random, seconds: float) -> None:
         self.boxes = boxes
         self.table = boxes[0].table
         self.endpoints = boxes[0].endpoints
-        self.chance = chance
-        self.end = asyncio.get_running_loop().time() + seconds
+        self.random = random
+        self.ends_at = asyncio.get_running_loop().time() + seconds
         self.outcome = Outcome()
-        self.began = asyncio.get_running_loop().time()
+        self.started_at = asyncio.get_running_loop().time()
         self.reached: dict[str, list[tuple[float, bool]]] = defaultdict(list)
         self.crashed_at: dict[str, list[float]] = defaultdict(list)
         self.box_by_call: dict[str, str] = {}
         self.up_since: dict[str, float] = {box.name: NEVER for box in boxes}
-        self.table_since = NEVER
-        self.story: list[tuple[float, str]] = []
+        self.table_up_since = NEVER
+        self.timeline: list[tuple[float, str]] = []
         self.starts = 0
         self.calls: set[asyncio.Task] = set()
 
@@ -75,19 +75,24 @@
         """Play it to its end, and judge."""
         for endpoint in self.endpoints:
             endpoint.on_poison = self._on_poison
-        await asyncio.gather(self._others(), self._poisons(), self._faults(), self._restarts())
+        await asyncio.gather(
+            self._send_requests(),
+            self._send_poison_requests(),
+            self._inject_faults(),
+            self._restart_crashed_endpoints(),
+        )
         await asyncio.gather(*self.calls)
         for name, times in self.reached.items():
             crashes = sorted(self.crashed_at[name])
             self.outcome.crashes[name] = len(crashes)
             if len(crashes) >= 3:
-                late = [at for at, in_touch in times if in_touch and at > crashes[2] + TOLD_S]
+                late = [at for at, connected in times if connected and at > crashes[2] + MAX_PROPAGATION_S]
                 self.outcome.late[name] = len(late)
         return self.outcome
 
-    def told(self) -> list[str]:
+    def timeline_lines(self) -> list[str]:
         """Return the story: what befell the boxes, and what they logged of crashes."""
-        lines = list(self.story)
+        lines = list(self.timeline)
         for box in self.boxes:
             for line in box.log_lines:
                 if line["kind"] in ("crashed", "quarantine", "start", "part_failed"):
@@ -101,33 +106,33 @@
         if crashed:
             self.crashed_at[name].append(now)
         else:
-            in_touch = now - max(self.up_since[box], self.table_since) > TOLD_S
-            self.reached[name].append((now, in_touch))
-        self._tell(f"{name} {'crashed' if crashed else 'reached'} one by {box}")
+            connected = now - max(self.up_since[box], self.table_up_since) > MAX_PROPAGATION_S
+            self.reached[name].append((now, connected))
+        self._record_event(f"{name} {'crashed' if crashed else 'reached'} one by {box}")
 
-    def _tell(self, what: str) -> None:
-        self.story.append((time.time(), what))
+    def _record_event(self, event: str) -> None:
+        self.timeline.append((time.time(), event))
 
-    def _left(self) -> bool:
-        return asyncio.get_running_loop().time() < self.end
+    def _running(self) -> bool:
+        return asyncio.get_running_loop().time() < self.ends_at
 
-    async def _others(self) -> None:
+    async def _send_requests(self) -> None:
         number = 0
-        while self._left():
+        while self._running():
             number += 1
-            self._start(self._other(number))
-            await asyncio.sleep(self.chance.expovariate(REQUESTS_S))
+            self._start_task(self._send_request(number))
+            await asyncio.sleep(self.random.expovariate(REQUESTS_PER_S))
 
-    def _start(self, call) -> None:
+    def _start_task(self, call) -> None:
         task = asyncio.create_task(call)
         self.calls.add(task)
         task.add_done_callback(self.calls.discard)
 
-    async def _other(self, number: int) -> None:
+    async def _send_request(self, number: int) -> None:
         """Send a request, and once more at another box where it fails."""
-        plain = self.chance.random() < 0.3
+        plain = self.random.random() < 0.3
         for again in range(2):
-            box = self.chance.choice(self.boxes)
+            box = self.random.choice(self.boxes)
             call_id = f"other-{number}-{again}"
             if plain:
                 answer = await box.call(f"/plain/{number}", "POST", call_id=call_id, body=b"plain")
@@ -141,53 +146,53 @@
             if answer.status == 503 and b"quarantined" in answer.body:
                 self.outcome.barred += 1
 
-    async def _poisons(self) -> None:
-        while self._left():
-            known = 2 + int((asyncio.get_running_loop().time() - self.began) / NEW_POISON_S)
+    async def _send_poison_requests(self) -> None:
+        while self._running():
+            issued = 2 + int((asyncio.get_running_loop().time() - self.started_at) / NEW_POISON_INTERVAL_S)
             # The newest come most often.
-            number = known - min(known, 1 + int(self.chance.expovariate(0.5)))
-            name, box = f"crash-{number}", self.chance.choice(self.boxes)
-            body, call_id = f"{name} POISON".encode(), f"{name}-{self.chance.random()}"
+            number = issued - min(issued, 1 + int(self.random.expovariate(0.5)))
+            name, box = f"crash-{number}", self.random.choice(self.boxes)
+            body, call_id = f"{name} POISON".encode(), f"{name}-{self.random.random()}"
             self.box_by_call[call_id] = box.name
             if number % 3 == 2:
-                self._start(box.call(f"/plain/{name}", "POST", call_id=call_id, body=body))
+                self._start_task(box.call(f"/plain/{name}", "POST", call_id=call_id, body=body))
             else:
-                self._start(box.prompt(f"/again/{name}", call_id=call_id, body=body))
-            await asyncio.sleep(self.chance.expovariate(POISONS_S))
+                self._start_task(box.prompt(f"/again/{name}", call_id=call_id, body=body))
+            await asyncio.sleep(self.random.expovariate(POISONS_PER_S))
 
-    async def _faults(self) -> None:
+    async def _inject_faults(self) -> None:
         """Kill boxes one at a time, and have the table service away."""
-        while self._left():
-            await asyncio.sleep(self.chance.uniform(3.0, 5.0))
-            if self.chance.random() < 0.3:
-                self._tell("table service away")
+        while self._running():
+            await asyncio.sleep(self.random.uniform(3.0, 5.0))
+            if self.random.random() < 0.3:
+                self._record_event("table service away")
                 self.table.down = True
-                self.table_since = float("inf")
+                self.table_up_since = float("inf")
                 await asyncio.sleep(OUTAGE_S)
                 self.table.down = False
-                self.table_since = asyncio.get_running_loop().time()
-                self._tell("table service back")
-            elif self._left():
-                box = self.chance.choice(self.boxes)
-                self._tell(f"{box.name} killed")
+                self.table_up_since = asyncio.get_running_loop().time()
+                self._record_event("table service back")
+            elif self._running():
+                box = self.random.choice(self.boxes)
+                self._record_event(f"{box.name} killed")
                 self.up_since[box.name] = float("inf")
                 await box.kill_box()
                 await box.start_box()
                 await box.until_ready()
                 self.up_since[box.name] = asyncio.get_running_loop().time()
-                self._tell(f"{box.name} ready")
+                self._record_event(f"{box.name} ready")
 
-    async def _restarts(self) -> None:
+    async def _restart_crashed_endpoints(self) -> None:
         """Start endpoints again that crashed, under new ids."""
-        while self._left():
+        while self._running():
             for endpoint in self.endpoints:
                 if endpoint.crashed:
-                    self._start(self._restart(endpoint))
+                    self._start_task(self._restart_endpoint(endpoint))
                     endpoint.crashed = False
             await asyncio.sleep(0.1)
 
-    async def _restart(self, endpoint: Endpoint) -> None:
-        await asyncio.sleep(DOWN_S)
+    async def _restart_endpoint(self, endpoint: Endpoint) -> None:
+        await asyncio.sleep(RESTART_DELAY_S)
         self.table.remove("servers", endpoint.id)
         self.starts += 1
         endpoint.id = f"{endpoint.id.partition('+')[0]}+{self.starts}"
@@ -202,10 +207,10 @@
             endpoint.crashes_on = b"POISON"
             endpoint.heard = bool(endpoint.model)
             endpoint.events_made, endpoint.event_s = 12, 0.02
-        played = Soak(sites, Random(seed), seconds)
-        outcome = await played.run()
+        player = Soak(sites, Random(seed), seconds)
+        outcome = await player.run()
         if story is not None:
-            story.write_text("\n".join(played.told()) + "\n")
+            story.write_text("\n".join(player.timeline_lines()) + "\n")
         return outcome
 
 
@@ -216,9 +221,9 @@
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--boxes", type=int, default=4)
     parser.add_argument("--story", type=Path)
-    chosen = parser.parse_args()
-    outcome = asyncio.run(soak(chosen.seed, chosen.seconds, chosen.boxes, chosen.story))
-    print(json.dumps({"seed": chosen.seed, "seconds": chosen.seconds, **vars(outcome)}))
+    arguments = parser.parse_args()
+    outcome = asyncio.run(soak(arguments.seed, arguments.seconds, arguments.boxes, arguments.story))
+    print(json.dumps({"seed": arguments.seed, "seconds": arguments.seconds, **vars(outcome)}))
 
 
 if __name__ == "__main__":
