--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -1,8 +1,8 @@
-"""A soak of several boxes: requests that crash endpoints come again and again, beside others, while boxes are
-killed and the table service is away. `python -m tests.soak_crashes --seed 1 --seconds 60` plays one.
+"""Soak test of the quarantine of requests that crash endpoints, with boxes killed and table outages.
 
-It holds that no request which crashes endpoints reaches more than three of them later than `TOLD_S` after its
-third crash, and that no other request is refused as one of them.
+`python -m tests.soak_crashes --seed 1 --seconds 60` runs it. It records how
+many endpoints a request reaches later than `MAX_PROPAGATION_S` after its third crash, which must be at most
+`MAX_LATE`, and how many other requests are quarantined, which must be none.
 """
 
 import argparse
@@ -19,30 +19,33 @@
 from tests.standins.dialect import Endpoint
 
 MAX_PROPAGATION_S = 3.0
-"""Seconds after a third crash from which boxes must know of it: the shortest bound of any deployment."""
+"""Time within which all boxes must learn of a third crash."""
 
 MAX_LATE = 3
-"""Endpoints that such a request may reach after that."""
+"""Endpoints that a request may reach after that time."""
 
 NEVER = float("-inf")
 OUTAGE_S = 2.0
 RESTART_DELAY_S = 1.5
-"""Seconds for which the table service is away, and an endpoint that crashed."""
+"""Time until a crashed endpoint starts again."""
 
 REQUESTS_PER_S = 30
-"""Requests a second, at any box, that crash nothing."""
+"""Rate of requests that crash nothing, over all boxes."""
 
 NEW_POISON_INTERVAL_S = 6.0
-"""Seconds after which callers have another request that crashes endpoints, beside those before; each third
-one goes to a plain service."""
+"""Interval at which another request that crashes endpoints is added; each third goes to a plain service."""
 
 POISONS_PER_S = 2.0
-"""Comings of such requests a second."""
+"""Rate at which such requests are sent."""
 
 
 @dataclass
 class Outcome:
-    """What a soak showed. late: endpoints reached too late, by request. barred: others that were refused."""
+    """Result of a soak test.
+
+    late: endpoints reached too late, by request
+    barred: other requests that were refused as quarantined
+    """
 
     crashes: dict[str, int] = field(default_factory=dict)
     late: dict[str, int] = field(default_factory=dict)
@@ -52,7 +55,7 @@
 
 
 class Soak:
-    """The boxes, and what befalls them."""
+    """Sends requests to boxes, injects faults and records what reaches endpoints."""
 
     def __init__(self, boxes: list[Site], random: Random, seconds: float) -> None:
         self.boxes = boxes
@@ -72,7 +75,7 @@
         self.calls: set[asyncio.Task] = set()
 
     async def run(self) -> Outcome:
-        """Play it to its end, and judge."""
+        """Run to the end, and count crashes and late arrivals."""
         for endpoint in self.endpoints:
             endpoint.on_poison = self._on_poison
         await asyncio.gather(
@@ -91,7 +94,7 @@
         return self.outcome
 
     def timeline_lines(self) -> list[str]:
-        """Return the story: what befell the boxes, and what they logged of crashes."""
+        """Return events and the boxes' log lines about crashes, in order of time."""
         lines = list(self.timeline)
         for box in self.boxes:
             for line in box.log_lines:
@@ -129,7 +132,7 @@
         task.add_done_callback(self.calls.discard)
 
     async def _send_request(self, number: int) -> None:
-        """Send a request, and once more at another box where it fails."""
+        """Send a request, and retry it once at a box drawn anew if it fails."""
         plain = self.random.random() < 0.3
         for again in range(2):
             box = self.random.choice(self.boxes)
@@ -149,7 +152,7 @@
     async def _send_poison_requests(self) -> None:
         while self._running():
             issued = 2 + int((asyncio.get_running_loop().time() - self.started_at) / NEW_POISON_INTERVAL_S)
-            # The newest come most often.
+            # Newer requests are sent more often.
             number = issued - min(issued, 1 + int(self.random.expovariate(0.5)))
             name, box = f"crash-{number}", self.random.choice(self.boxes)
             body, call_id = f"{name} POISON".encode(), f"{name}-{self.random.random()}"
@@ -161,7 +164,7 @@
             await asyncio.sleep(self.random.expovariate(POISONS_PER_S))
 
     async def _inject_faults(self) -> None:
-        """Kill boxes one at a time, and have the table service away."""
+        """Kill boxes one at a time, and take the table service down."""
         while self._running():
             await asyncio.sleep(self.random.uniform(3.0, 5.0))
             if self.random.random() < 0.3:
@@ -183,7 +186,7 @@
                 self._record_event(f"{box.name} ready")
 
     async def _restart_crashed_endpoints(self) -> None:
-        """Start endpoints again that crashed, under new ids."""
+        """Restart crashed endpoints under new ids."""
         while self._running():
             for endpoint in self.endpoints:
                 if endpoint.crashed:
@@ -201,7 +204,10 @@
 
 
 async def soak(seed: int, seconds: float, boxes: int = 4, story: Path | None = None) -> Outcome:
-    """Play a soak, and return what it showed. story: a file for what happened when."""
+    """Run a soak test.
+
+    story: file that the timeline is written to
+    """
     async with several_boxes(boxes) as sites:
         for endpoint in sites[0].endpoints:
             endpoint.crashes_on = b"POISON"
@@ -215,7 +221,7 @@
 
 
 def main() -> None:
-    """Play the soak that the command line names, and tell what it showed."""
+    """Run the soak test from the command line, and print its result as JSON."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=60.0)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Properties of the core that no scenario can show for all inputs."""
+"""Unit and property tests of the core."""
 
 from random import Random
 
--- a/tests/test_crash_rows.py
+++ b/tests/test_crash_rows.py
@@ -1,5 +1,4 @@
-"""Rows in which boxes tell each other of crashes: what was written before counts, and what counts no more
-goes."""
+"""Rows of the table service in which boxes share crashes: writes, conflicts and expiry."""
 
 import asyncio
 import json
@@ -21,7 +20,7 @@
 
 
 class StubTable:
-    """A table service that answers commits as the test wants, and notes them."""
+    """Answers commits with the given results and records them."""
 
     def __init__(self, *answers) -> None:
         self.answers = list(answers)
@@ -36,7 +35,7 @@
 
 
 def row(key: str, revision: int, *crashes: tuple[str, int, float], **fields) -> Row:
-    """A box's row; times are seconds ago."""
+    """Return a row of a box; each crash is a digest, an incarnation and its age in seconds."""
     encoded = [
         [digest, f"e-{incarnation}", NOW + 50.0 - ago_s, 0.1, 0] for digest, incarnation, ago_s in crashes
     ]
@@ -120,7 +119,7 @@
 
 
 class LongPollTable(StubTable):
-    """A table service in which nothing changes: each question for changes is held to its end."""
+    """A table without changes: each long poll runs into its time-out."""
 
     polls = 0
 
@@ -134,7 +133,7 @@
 
 
 def test_a_router_that_follows_the_rows_tells_of_them_all_the_time():
-    """Else each box would read them itself whenever its router seems to have lost them."""
+    """Otherwise boxes would bypass the router and read the rows themselves."""
 
     async def scenario():
         state = box_state()
--- a/tests/test_crash_soak.py
+++ b/tests/test_crash_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of several boxes with requests that crash endpoints; by hand it is played for longer."""
+"""A short run of the soak test with requests that crash endpoints; see tests.soak_crashes."""
 
 import asyncio
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,9 +1,6 @@
-"""A request that crashes each endpoint that begins it comes again and again, at any box.
+"""Quarantine of requests that crash each endpoint that runs them.
 
-Seen on six boxes and five engines: one prompt crashed 24 engines, 11 of them after the third, and all five
-were down four times in twenty seconds. Each time it came with another id, mostly to another box. No box
-remembered a request beyond its own attempts, so that each coming crashed as many engines as one request may
-be sent to; the logs of two comings name the same digest, and a crash within 0.1 s of each beginning.
+Guards against a request that is sent again, under another id or at another box, and crashes more endpoints.
 """
 
 import asyncio
@@ -17,8 +14,7 @@
 POISON = b"crash"
 PROMPT = b"a prompt, crash"
 MAX_PROPAGATION_S = 3.0
-"""Seconds within which every box knows of a third crash: the shortest time for which a box must have been in
-touch on any deployment."""
+"""Time within which all boxes must learn of a third crash."""
 
 
 def make_endpoints_crash(here: Site) -> None:
@@ -30,7 +26,7 @@
 async def site_with_crashing_endpoints(
     plain: int = 0, engines: int = 7, **bounds: float
 ) -> AsyncIterator[Site]:
-    """A box whose endpoints crash on one request, and which may send as often again as it ever may."""
+    """Start a box with its full retry budget, whose endpoints crash on one request."""
     async with site(plain=plain, engines=engines, budget_window_s=1, **bounds) as here:
         await here.until_slack()
         make_endpoints_crash(here)
@@ -44,7 +40,7 @@
 async def send_crashing_requests(
     here: Site, times: int, path: str = "/again/x", name: str = "crash"
 ) -> Answer:
-    """Have the request that crashes endpoints come a few times, and return its last answer."""
+    """Send the request that crashes endpoints several times, and return the last response."""
     for number in range(times):
         answer = await here.prompt(path, call_id=f"{name}-{number}", body=PROMPT)
         assert answer.status in (0, 502, 503)
@@ -145,8 +141,7 @@
 
 
 def test_a_box_that_has_just_started_does_not_send_what_the_rows_it_has_yet_to_read_hold_back():
-    """Seen once on six boxes, 60% of which had been killed four seconds before: a request under which three
-    endpoints had crashed was sent five times more, the first time 6 ms after a caller had sent it."""
+    """Guards against sending quarantined requests before the rows of crashes were read."""
 
     async def scenario():
         async with site_with_crashing_endpoints() as here:
@@ -228,7 +223,7 @@
 
 
 async def crash_holder(here: Site, call_id: str) -> None:
-    """Have the endpoint crash that has the request that many send."""
+    """Send the request, and crash the endpoint that holds it."""
     crashes_before = len(here.logged("crashed"))
     for endpoint in here.endpoints:
         endpoint.hold_s = 0.3
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Structured logs: bounded, never in the way; and the stories told from them."""
+"""The structured event log, which is bounded and never blocks, and the `explain` command."""
 
 import io
 import json
@@ -11,7 +11,7 @@
 
 
 class StubReader:
-    """Standard output whose reader may stall or go away."""
+    """Standard output whose reader may stall or close."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -43,7 +43,7 @@
 
 
 def test_a_stalled_reader_delays_nothing_and_what_is_left_out_is_told(monkeypatch):
-    # Lines are bounded by the second: these must not fall into two of them.
+    # The limit of lines is per second, so all lines must have the same second.
     monkeypatch.setattr("stairquay.serving.event_log.monotonic", lambda: 5.0)
     reader = StubReader()
     reader.stalled = True
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Whatever stands in the table service or in a report, decoding it ends in our own types."""
+"""Decoding of arbitrary rows and reports: typed values, or an error for that entry only."""
 
 import json
 from base64 import b64encode
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -1,6 +1,6 @@
-"""Evacuated data halls, cold endpoints, endpoints that start again under their id, and entries from others.
+"""Evacuated data halls, cold endpoints, endpoints restarted under their id, and invalid entries.
 
-What a box sends to endpoints is seen at stand-ins of these; the box is a real process.
+The box is a real process; the endpoints are stand-ins.
 """
 
 import asyncio
@@ -11,13 +11,13 @@
 from tests.standins.dialect import Endpoint
 
 MAX_PROPAGATION_S = 3.0
-"""Seconds after which a change of operators' rows must be known to the box of a small site."""
+"""Time within which a box must learn of a change of operators' rows."""
 
 COLD_REQUESTS_PER_S = 10.0
-"""Requests a second that a cold endpoint bears in these tests."""
+"""Rate limit of a cold endpoint in these tests."""
 
 MAX_REFUSAL_S = 1.0
-"""Seconds within which a refusal comes at once, on a busy machine: their time is over after three."""
+"""Time within which an immediate refusal must arrive, also on a busy machine."""
 
 HALLS = ("hall-a", "hall-b")
 
@@ -27,12 +27,12 @@
 
 
 def cold_capacity_since(started_at: float) -> float:
-    """Return how many requests a cold engine bears from then until now, of at least a second."""
+    """Return how many requests a cold engine may get since `started_at`, counted as at least a second."""
     return COLD_REQUESTS_PER_S * max(1.0, monotonic() - started_at)
 
 
 async def mark_cold(here: Site, engine: Endpoint) -> None:
-    """Have an engine say that it is cold, and wait until the box knows."""
+    """Announce that an engine is cold, and wait until the box has noticed."""
     configure_cold(here)
     engine.cold_ms = 30_000
     here.table.put("servers", engine.id, engine.entry())
@@ -40,24 +40,24 @@
 
 
 async def call_concurrently(here: Site, count: int, path: str = "/plain/x") -> list[int]:
-    """Send requests side by side, so that all endpoints that may get some do; return their statuses."""
+    """Send concurrent requests, which spread over all usable endpoints; return their statuses."""
     calls = (here.call(path, call_id=f"c-{path}-{number}") for number in range(count))
     return [answer.status for answer in await asyncio.gather(*calls)]
 
 
 async def send_prompts(here: Site, count: int, name: str) -> list[Answer]:
-    """Send prompts side by side, of a kind that is not refused for load; return their answers."""
+    """Send concurrent prompts on a route that is not subject to load shedding; return the responses."""
     calls = (here.prompt("/again/chat", call_id=f"{name}-{number}") for number in range(count))
     return await asyncio.gather(*calls)
 
 
 async def prompt_statuses(here: Site, count: int, name: str) -> list[int]:
-    """Send prompts side by side, and return their statuses."""
+    """Send concurrent prompts, and return their statuses."""
     return [answer.status for answer in await send_prompts(here, count, name)]
 
 
 def configure_cold(here: Site, version: int = 2) -> None:
-    """Have the engines bear little work while they are cold."""
+    """Set a low rate limit for cold engines."""
     services: list[dict[str, Any]] = configuration(version, here.stores)["services"]
     for service in services:
         if service["name"] == "llm":
@@ -157,7 +157,7 @@
             assert len(refused) + len(engine.taken) == len(answers)
             assert max(answer.took_s for answer in refused) < MAX_REFUSAL_S
             assert min(float(answer.headers["Retry-After"]) for answer in refused) > 0
-            # What it bears next comes soon, and is not withheld.
+            # The limit is a rate: the next request is admitted soon after.
             await asyncio.sleep(2 / COLD_REQUESTS_PER_S)
             assert (await here.prompt("/again/chat", call_id="one-more")).status == 200
             engine.cold_ms = 0
@@ -226,7 +226,7 @@
             await asyncio.sleep(1.0)
             here.table.put("op", "version/m", {"model": "m", "version": 2})
             await eventually(lambda: engine.orders, 5.0)
-            # It starts again while it loads, and knows nothing of the order.
+            # It restarts while it loads, and loses the order.
             engine.born, engine.load_s, engine.busy, engine.sequence = 2_000, 0.1, False, 0
             here.table.put("servers", engine.id, engine.entry())
             await eventually(lambda: len(engine.orders) > 1, 4.0)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are quarantined: the one that crashes endpoints, and none that ran beside it."""
+"""Which requests are quarantined: those that crash endpoints, not those that ran at the same time."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -25,12 +25,12 @@
 
 
 def publish_rows(sender: Quarantine, reader: Quarantine, key: str = "other") -> None:
-    """Have one box read what another one wrote."""
+    """Apply the rows of one box at another."""
     reader.apply_rows({key: CrashReport(tuple(sender.own_crashes.values()), dict(sender.cleared))}, False)
 
 
 CONCURRENT = st.lists(st.sets(st.integers(0, 5), max_size=6), min_size=1, max_size=12)
-"""For each crash, those that ran beside the request that caused it."""
+"""For each crash, the requests that ran together with the cause."""
 
 
 @given(CONCURRENT)
@@ -45,7 +45,7 @@
 
 @given(CONCURRENT, CONCURRENT)
 def test_two_that_crash_endpoints_are_both_found(first, second):
-    """Whoever ran beside either of them is not, unless it ran beside nearly all of their crashes."""
+    """Unless another request ran during as many crashes."""
     crashes = []
     for name, concurrent in (("one", first), ("two", second)):
         for incarnation, names in enumerate(concurrent):
@@ -59,7 +59,7 @@
 
 
 def test_two_that_were_both_at_one_crash_are_both_found_and_who_ran_beside_them_is_not():
-    """In a soak one of them explained the other's third crash, and released it, each time by turns."""
+    """Guards against one request explaining the third crash of the other, and releasing it."""
     incarnations_by_digest = {"one": (0, 1, 4), "two": (2, 3, 4), "well": (0, 1, 2)}
     run_s_by_digest = {"one": 0.05, "two": 0.05, "well": 0.1}
     crashes = [
@@ -156,8 +156,7 @@
 
 
 def test_a_request_that_ran_on_elsewhere_did_not_crash_the_endpoints_before():
-    """Seen on a day on which half of the engines crashed each three seconds: a stream that had lost two of
-    them went on at a third for 2.9 s, lost that one too, and was cut as their cause."""
+    """Guards against cutting a stream that lost several engines to unrelated crashes."""
     crashes = [crash("well", incarnation, events=events) for incarnation, events in enumerate((0, 0, 40))]
     assert not find_quarantined(crashes, 1.0)
     long = [crash(CRASHING, incarnation, events=300 + incarnation) for incarnation in range(3)]
--- a/tests/test_reading_once.py
+++ b/tests/test_reading_once.py
@@ -1,4 +1,4 @@
-"""Prompts with the same shared parts that arrive in a burst: they are read once."""
+"""Prompts that arrive in a burst with shared parts: the engines prefill those parts once."""
 
 import asyncio
 from random import Random
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -1,10 +1,7 @@
-"""The table service is away for a moment and comes back from a copy some seconds old.
+"""The table service is restored from a copy some seconds old, and issues the same revisions again.
 
-What was written since is gone, its numbers are given out again, and what operators and endpoints wrote is
-written once more. No box reads which era an answer is of, so that numbers that went back are taken for old
-news, and changes under numbers given out again are not seen; the fence of a lease goes back with its row.
-
-What a box does with that is seen at stand-ins of the endpoints; the boxes are real processes.
+Guards against boxes that ignore changes because their revisions are lower or known already.
+The boxes are real processes; the endpoints are stand-ins.
 """
 
 import asyncio
@@ -15,19 +12,19 @@
 from tests.test_crashes import crash_count, make_endpoints_crash, send_crashing_requests, wait_for_quarantine
 
 MAX_PROPAGATION_S = 3.0
-"""Seconds after which a change of operators' rows must be known to the box of a small site."""
+"""Time within which a box must learn of a change of operators' rows."""
 
 MAX_REVOCATION_S = 5.0
-"""Seconds after which a key that was taken away must not be used any more."""
+"""Time after which a revoked key must be refused."""
 
 LOST_WRITES = 500
-"""Rows written since the copy was made: endpoints write theirs each second."""
+"""Rows written since the copy was made, and lost."""
 
 OUTAGE_S = 0.5
 
 
 def write_unrelated_rows(here: Site, count: int) -> None:
-    """Write rows of a table that nobody follows, so that the table service's numbers go on."""
+    """Write rows to a table that nobody follows, to advance the revision."""
     for number in range(count):
         here.table.put("elsewhere", "row", number)
 
@@ -35,8 +32,10 @@
 async def restore_older_copy(
     here: Site, write_after_copy: Callable[[], Awaitable[None]], write_again: Callable[[], None]
 ) -> None:
-    """Have things written after a copy, then have the table service come back from it. `again` writes what
-    operators and endpoints had written since."""
+    """Copy the table, make writes, and restore the copy after an outage.
+
+    write_again: repeats the lost writes of operators and endpoints
+    """
     copy = here.table.copy()
     await write_after_copy()
     here.table.down = True
@@ -47,11 +46,11 @@
 
 
 async def write_nothing() -> None:
-    """Have nothing written but what goes on by itself."""
+    """Make no writes of the test's own."""
 
 
 def workspaces_without_key(here: Site) -> list[dict]:
-    """Return the workspaces, without the key that callers use."""
+    """Return the workspaces without the one whose key callers use."""
     tenants = configuration(1, here.stores)["tenants"]
     return [tenant for tenant in tenants if KEY not in tenant["api_keys"]]
 
--- a/tests/test_serving_core.py
+++ b/tests/test_serving_core.py
@@ -1,4 +1,4 @@
-"""The pure parts of the one-process program: catalog, fleet, budget, holdings, placement, rollout."""
+"""Unit and property tests of catalog, fleet, retry budget, holdings, placement and rollout."""
 
 from dataclasses import replace
 from random import Random
@@ -81,7 +81,7 @@
 
 
 FULL_SLACK_S = 1e6
-"""Seconds after which a box has its whole slack: more than any window."""
+"""Longer than any window, so that a box may use its whole slack."""
 
 
 @settings(max_examples=60)
@@ -123,7 +123,7 @@
     ),
 )
 def test_boxes_killed_and_started_anew_at_any_time_never_exceed_the_allowance(boxes, discovery_s, steps):
-    """Each box counts itself alone until it has read, `unread_s` after its start, how many there are."""
+    """A box assumes that it is alone until it discovers the others, `discovery_s` after its start."""
     allowance = RetryAllowance(ratio=0.2, slack=10, window_s=10.0)
     budgets = [WindowedRetryBudget(allowance) for _ in range(boxes)]
     started = [0.0] * boxes
@@ -153,7 +153,7 @@
 
 
 def spend_retry(budget: WindowedRetryBudget, now: float, boxes: int, known_s: float) -> bool:
-    """Take a repeat at a box that has known of the others for `known_s`; below 0, it does not yet."""
+    """Spend a retry at a box that discovered the others `known_s` ago; negative: not yet."""
     return budget.take(now, boxes if known_s >= 0 else 1, max(0.0, known_s))
 
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,9 +1,4 @@
-"""A machine that is suspended for seconds: its steady clock stands still meanwhile, and all else goes on.
-
-Boxes counted ages and limits by a clock that does not count such a time. A box that was suspended for six
-seconds took its view for as young as before, and sent requests with keys that had been taken away, gave
-orders under a lease that another box had taken over, and worked on requests whose time had long run out.
-"""
+"""A machine that is suspended: ages, leases and timeouts must count the time of the suspension."""
 
 import asyncio
 import time
@@ -23,7 +18,7 @@
 
 @pytest.fixture
 def suspend(monkeypatch):
-    """Return a function that has the machine suspended: only the clock that counts such times goes on."""
+    """Return a function that simulates a suspension: only CLOCK_BOOTTIME advances."""
     suspended_s = 0.0
     real_clock_gettime = time.clock_gettime
 
@@ -39,7 +34,7 @@
 
 
 def now_of(module: str) -> float:
-    """Return the time as a module of the box has it."""
+    """Return the time by the clock that a module uses."""
     return import_module(f"stairquay.serving.{module}").monotonic()
 
 
@@ -59,7 +54,7 @@
 
 
 def test_a_request_whose_time_ran_out_meanwhile_ends_at_the_next_event(suspend, monkeypatch, tmp_path):
-    """The box's own loop: what it waits for ends by the same clock."""
+    """The timeouts of the event loop use CLOCK_BOOTTIME too."""
     took_s = []
 
     async def box(*_: object) -> None:
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -1,4 +1,4 @@
-"""When nothing may begin on replaced weights any more, by what a box knows: clocks, rows, and waits."""
+"""The age limit of replaced weights: clock offsets, rows of boxes, and predicted waits."""
 
 import asyncio
 from random import Random
@@ -55,8 +55,7 @@
 
 
 def test_an_answer_that_is_late_on_its_way_makes_no_time_in_a_row_look_later():
-    """Rows tell times by the table service's clock. Compared with ours when the answer came in, a late answer
-    made a naming look later than it was, by up to the time that an answer may take."""
+    """Times in rows are by the table service's clock; a slow response must not shift them."""
 
     async def scenario():
         table = TableService()
@@ -78,7 +77,7 @@
 
 
 def test_nothing_begins_on_replaced_weights_before_the_rows_of_boxes_were_read():
-    """Only these rows tell a box that starts for how long weights have been replaced."""
+    """A starting box learns the age of replaced weights from these rows only."""
 
     async def scenario():
         async with site(plain=0, engines=1, version_ms=3000) as here:
@@ -102,7 +101,7 @@
 
 
 def state_with_old_weights(replaced_s: float) -> BoxState:
-    """Return the state of a router with one engine whose weights have been replaced for so long."""
+    """Return the state of a router with one engine whose weights were replaced `replaced_s` ago."""
     state = box_state()
     state.version_history_known = True
     state.catalog = CATALOG
@@ -118,8 +117,7 @@
 
 
 def test_a_prompt_goes_to_old_weights_only_where_its_first_token_comes_in_time():
-    """A run begins with its first token: besides the wait at the engine, the prompt itself has to be read,
-    and engines take up to twice as long as predicted."""
+    """A run begins with its first token, so the time of the prefill counts too."""
     sent_by_tokens = {}
     for tokens in (100, 10_000, 30_000, 60_000):
         request = ChoiceRequest(
@@ -131,7 +129,7 @@
 
 
 def test_an_engine_that_has_not_reported_yet_hurries_orders_by_the_age_of_its_weights():
-    """An engine that starts again has the weights that it had, and the first report comes later."""
+    """A restarted engine still has its old weights, and reports only later."""
     state = state_with_old_weights(9.0)
     state.fleet.apply([Endpoint("e-1", "llm", "10.0.1.1:1", versions_by_model={"m": 1})], [], monotonic())
     ages_s = {
@@ -141,12 +139,12 @@
 
 
 def show_versions(state: BoxState, versions_by_model: dict[str, int], asked_at: float) -> None:
-    """Let a box see operators' rows, by a question that was asked then."""
+    """Apply operators' rows that were requested at `asked_at`."""
     apply_operators(state, OperatorChanges(1, True, versions_by_model=versions_by_model), asked_at)
 
 
 async def learned_age_s(state: BoxState, row: dict[str, object]) -> float:
-    """Return for how long version 1 has been replaced, once a box has read another one's row."""
+    """Return how long ago version 1 was replaced, after a box has read the row of another."""
     table = TableService()
     await table.start()
     assert table.runner is not None
@@ -162,8 +160,8 @@
 
 
 def test_a_box_that_was_held_up_for_long_makes_no_other_box_take_weights_for_too_old():
-    """A box that was frozen only knows that a version was named after its own last view, long ago. The others
-    saw it come, and refused prompts until all engines had loaded when they believed the row of that box."""
+    """A suspended box dates a new version by its last view, which is too early. Boxes that saw the change
+    must keep their own time, or they refuse prompts."""
 
     async def scenario():
         long_ago_s = now_ms() / 1000 - 17.0
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Since when weights have been replaced: what a box knows of it when versions follow each other, and anew."""
+"""The age of replaced weights, across successive versions and restarts of boxes."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from tests.site import box_rows, eventually, name_version, site
 
 MAX_VERSION_AGE_MS = 1_500
-"""Milliseconds after which nothing may begin on replaced weights, on the sites here."""
+"""Age after which replaced weights must not be used in these tests."""
 
 
 def test_an_old_version_is_replaced_by_the_first_newer_one_and_not_by_the_newest():
@@ -48,10 +48,7 @@
 
 
 def test_nothing_begins_on_an_engine_that_a_row_of_versions_left_behind():
-    """Prompts began on weights that had been replaced over twelve seconds before. Engines had crashed and
-    come back with the weights that they had, and a third version was named some seconds after the second.
-    Boxes counted the age of replaced weights from the newest version, so that each one began the count anew.
-    Shown by two versions in a row and an engine that never finishes loading."""
+    """Guards against counting the age of replaced weights from the newest version instead of the next one."""
 
     async def scenario():
         async with site(plain=0, engines=1, version_ms=MAX_VERSION_AGE_MS) as here:
@@ -102,16 +99,12 @@
 
 
 def test_a_version_named_while_no_box_ran_counts_from_the_last_view_that_did_not_show_it():
-    """Prompts began on weights replaced over twelve seconds before, since boxes had started to count the age
-    anew. With versions in a row that is mended, and a box that starts anew asks the rows of boxes; but these
-    say nothing of a version that was named right before all boxes lost power. The age then counted from the
-    start, by the whole time without boxes too late. Shown by naming a version between kill and start.
-    """
+    """Guards against counting the age of replaced weights from the start of the box."""
 
     async def scenario():
         async with site(plain=0, engines=1, version_ms=2 * MAX_VERSION_AGE_MS) as here:
             here.engines()[0].load_s = 60.0
-            # A box that is lost before it wrote its first row leaves no view behind.
+            # The box must have written its first row before it is killed.
             await eventually(lambda: box_rows(here) and box_rows(here)[0]["viewed_at_s"] is not None)
             await here.kill_box()
             name_version(here, 2)
@@ -127,8 +120,7 @@
 
 
 def test_a_newly_named_version_is_told_again_where_the_row_could_not_be_written():
-    """Boxes that start anew learn from rows when versions were named. One whose write was refused waited for
-    its next heartbeat, four seconds later: a loss of power in that time lost the time of the naming."""
+    """Guards against waiting for the next heartbeat: a crash before it would lose the time of the change."""
 
     async def scenario():
         async with site(plain=0, engines=1) as here:
