--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -65,13 +65,13 @@
         self.ends_at = asyncio.get_running_loop().time() + seconds
         self.outcome = Outcome()
         self.started_at = asyncio.get_running_loop().time()
-        self.reached: dict[str, list[tuple[float, bool]]] = defaultdict(list)
-        self.crashed_at: dict[str, list[float]] = defaultdict(list)
+        self.arrivals_by_request: dict[str, list[tuple[float, bool]]] = defaultdict(list)
+        self.crash_times_by_request: dict[str, list[float]] = defaultdict(list)
         self.box_by_call: dict[str, str] = {}
-        self.up_since: dict[str, float] = {box.name: NEVER for box in boxes}
+        self.up_since_by_box: dict[str, float] = {box.name: NEVER for box in boxes}
         self.table_up_since = NEVER
         self.timeline: list[tuple[float, str]] = []
-        self.starts = 0
+        self.restart_count = 0
         self.calls: set[asyncio.Task] = set()
 
     async def run(self) -> Outcome:
@@ -85,8 +85,8 @@
             self._restart_crashed_endpoints(),
         )
         await asyncio.gather(*self.calls)
-        for name, times in self.reached.items():
-            crashes = sorted(self.crashed_at[name])
+        for name, times in self.arrivals_by_request.items():
+            crashes = sorted(self.crash_times_by_request[name])
             self.outcome.crashes[name] = len(crashes)
             if len(crashes) >= 3:
                 late = [at for at, connected in times if connected and at > crashes[2] + MAX_PROPAGATION_S]
@@ -107,10 +107,10 @@
         name, box = body.decode().partition(" ")[0], self.box_by_call[call_id]
         now = asyncio.get_running_loop().time()
         if crashed:
-            self.crashed_at[name].append(now)
+            self.crash_times_by_request[name].append(now)
         else:
-            connected = now - max(self.up_since[box], self.table_up_since) > MAX_PROPAGATION_S
-            self.reached[name].append((now, connected))
+            connected = now - max(self.up_since_by_box[box], self.table_up_since) > MAX_PROPAGATION_S
+            self.arrivals_by_request[name].append((now, connected))
         self._record_event(f"{name} {'crashed' if crashed else 'reached'} one by {box}")
 
     def _record_event(self, event: str) -> None:
@@ -134,9 +134,9 @@
     async def _send_request(self, number: int) -> None:
         """Send a request, and retry it once at a box drawn anew if it fails."""
         plain = self.random.random() < 0.3
-        for again in range(2):
+        for retry in range(2):
             box = self.random.choice(self.boxes)
-            call_id = f"other-{number}-{again}"
+            call_id = f"other-{number}-{retry}"
             if plain:
                 answer = await box.call(f"/plain/{number}", "POST", call_id=call_id, body=b"plain")
             else:
@@ -178,11 +178,11 @@
             elif self._running():
                 box = self.random.choice(self.boxes)
                 self._record_event(f"{box.name} killed")
-                self.up_since[box.name] = float("inf")
+                self.up_since_by_box[box.name] = float("inf")
                 await box.kill_box()
                 await box.start_box()
                 await box.until_ready()
-                self.up_since[box.name] = asyncio.get_running_loop().time()
+                self.up_since_by_box[box.name] = asyncio.get_running_loop().time()
                 self._record_event(f"{box.name} ready")
 
     async def _restart_crashed_endpoints(self) -> None:
@@ -197,9 +197,9 @@
     async def _restart_endpoint(self, endpoint: Endpoint) -> None:
         await asyncio.sleep(RESTART_DELAY_S)
         self.table.remove("servers", endpoint.id)
-        self.starts += 1
+        self.restart_count += 1
         endpoint.id = f"{endpoint.id.partition('+')[0]}+{self.starts}"
-        await endpoint.again()
+        await endpoint.retry()
         self.table.put("servers", endpoint.id, endpoint.entry())
 
 
@@ -213,10 +213,10 @@
             endpoint.crashes_on = b"POISON"
             endpoint.heard = bool(endpoint.model)
             endpoint.events_made, endpoint.event_s = 12, 0.02
-        player = Soak(sites, Random(seed), seconds)
-        outcome = await player.run()
+        soak_run = Soak(sites, Random(seed), seconds)
+        outcome = await soak_run.run()
         if story is not None:
-            story.write_text("\n".join(player.timeline_lines()) + "\n")
+            story.write_text("\n".join(soak_run.timeline_lines()) + "\n")
         return outcome
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -114,8 +114,8 @@
 def test_losing_a_router_moves_only_its_own_families(routers, family):
     order = rank_owners(family, routers, len(routers))
     for lost in routers:
-        rest = rank_owners(family, routers - {lost}, len(routers))
-        assert rest[0] == (order[1] if order[0] == lost else order[0])
+        remaining = rank_owners(family, routers - {lost}, len(routers))
+        assert remaining[0] == (order[1] if order[0] == lost else order[0])
 
 
 COSTS = EngineCosts(prefill_tokens_s=10_000, kv_bytes_token=140_000, link_bytes_s=4e9)
@@ -203,12 +203,12 @@
     for _ in range(100):
         queue.offer(large)
     queue.grant()
-    mine = queue.offer(small)
+    small_ticket = queue.offer(small)
     order = []
     for _ in range(3):
         queue.release(0.1)
         order.append(queue.grant().number)
-    assert mine.number in order
+    assert small_ticket.number in order
 
 
 def test_a_request_that_would_wait_too_long_is_refused_with_when_to_come_back():
@@ -358,15 +358,15 @@
 def test_a_store_box_under_a_steady_stream_stays_below_full_and_is_not_emptied():
     capacity, segment_bytes, grace = 1_000_000, 10_000, 10
     resident_bytes, waiting = 0, []
-    for moment in range(400):
-        waiting = [(due, size) for due, size in waiting if due > moment]
+    for tick in range(400):
+        waiting = [(due, size) for due, size in waiting if due > tick]
         pending_free = sum(size for _, size in waiting)
-        assert resident_bytes + pending_free + segment_bytes <= capacity, moment
+        assert resident_bytes + pending_free + segment_bytes <= capacity, tick
         resident_bytes += segment_bytes
         excess = excess_bytes(resident_bytes + pending_free, pending_free, segment_bytes * grace, capacity)
         evicted_bytes = -(-max(0, excess) // segment_bytes) * segment_bytes
         resident_bytes -= evicted_bytes
-        waiting.append((moment + grace, evicted_bytes))
+        waiting.append((tick + grace, evicted_bytes))
     assert resident_bytes >= 0.8 * capacity
 
 
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -121,8 +121,8 @@
                     del copy.rows_by_key[key]
             name_version(first, 2)
             await eventually(lambda: engine.version == 2)
-            leader = first if first.logged("lease", outcome="taken") else second
-            await leader.kill_box()
+            leaseholder = first if first.logged("lease", outcome="taken") else second
+            await leaseholder.kill_box()
             first.table.down = True
             await asyncio.sleep(OUTAGE_S)
             first.table.restore(copy)
--- a/tests/test_serving_core.py
+++ b/tests/test_serving_core.py
@@ -42,15 +42,19 @@
 
 
 @given(st.lists(st.floats(0.1, 100), min_size=1, max_size=5), st.floats(0, 1, exclude_max=True))
-def test_a_split_always_picks_one_of_its_services(weights, draw):
+def test_a_split_always_picks_one_of_its_services(weights, fraction):
     route = replace(make_route(), splits=tuple(Split(f"s{n}", weight) for n, weight in enumerate(weights)))
-    assert pick_service(route, draw) in {split.service for split in route.splits}
+    assert pick_service(route, fraction) in {split.service for split in route.splits}
 
 
 def test_a_workspaces_rank_goes_before_its_routes_and_routes_keep_their_order_within_it():
     first, second = WorkspacePolicy("a", priority=0), WorkspacePolicy("b", priority=1)
-    urgent, calm = make_route(priority=0), make_route(priority=2)
-    ranks = [engine_priority(route, policy) for policy in (first, second) for route in (urgent, calm)]
+    high_priority, low_priority = make_route(priority=0), make_route(priority=2)
+    ranks = [
+        engine_priority(route, policy)
+        for policy in (first, second)
+        for route in (high_priority, low_priority)
+    ]
     assert ranks == sorted(set(ranks))
     assert engine_priority(make_route(priority=40), WorkspacePolicy("c", priority=9)) == 9
 
@@ -217,8 +221,8 @@
 
 def test_an_engine_whose_memory_is_full_is_left_for_one_that_has_room():
     full = engine("full", (500, 8_000, 0), used_tokens=178_000, total_tokens=179_000)
-    roomy = engine("roomy", used_tokens=60_000, total_tokens=179_000)
-    assert rank_placements(PARTS, 10_500, [full, roomy], no_source, 35_000)[0].engine is roomy
+    unloaded = engine("roomy", used_tokens=60_000, total_tokens=179_000)
+    assert rank_placements(PARTS, 10_500, [full, unloaded], no_source, 35_000)[0].engine is unloaded
 
 
 @given(st.integers(0, 10_000))
@@ -285,9 +289,9 @@
 def test_no_more_engines_load_at_once_than_it_takes_to_be_done_in_time():
     five = [replace(item, replaced_s=4.9) for item in ENGINES[:5]]
     assert len(next_orders(five, {"m": 2}, {}, 0.0, 10.0)) == 2
-    young = [replace(item, replaced_s=0.1) for item in five]
-    assert len(next_orders(young, {"m": 2}, {}, 0.0, 10.0)) == 1
-    mixed = [replace(five[0], replaced_s=7.0), *young[1:]]
+    recent = [replace(item, replaced_s=0.1) for item in five]
+    assert len(next_orders(recent, {"m": 2}, {}, 0.0, 10.0)) == 1
+    mixed = [replace(five[0], replaced_s=7.0), *recent[1:]]
     assert [order.engine for order in next_orders(mixed, {"m": 2}, {}, 0.0, 10.0)] == ["e0"]
 
 
