--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -198,8 +198,8 @@
         await asyncio.sleep(RESTART_DELAY_S)
         self.table.remove("servers", endpoint.id)
         self.restart_count += 1
-        endpoint.id = f"{endpoint.id.partition('+')[0]}+{self.starts}"
-        await endpoint.retry()
+        endpoint.id = f"{endpoint.id.partition('+')[0]}+{self.restart_count}"
+        await endpoint.again()
         self.table.put("servers", endpoint.id, endpoint.entry())
 
 
