--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -1,8 +1,7 @@
 """Soak test of the quarantine of requests that crash endpoints, with boxes killed and table outages.
 
-`python -m tests.soak_crashes --seed 1 --seconds 60` runs it. It records how
-many endpoints a request reaches later than `MAX_PROPAGATION_S` after its third crash, which must be at most
-`MAX_LATE`, and how many other requests are quarantined, which must be none.
+`python -m tests.soak_crashes --seed 1 --seconds 60` runs it. It records how many endpoints a request reaches
+later than `MAX_PROPAGATION_S` after its third crash, and how many other requests are refused as quarantined.
 """
 
 import argparse
--- a/tests/test_crash_rows.py
+++ b/tests/test_crash_rows.py
@@ -119,7 +119,7 @@
 
 
 class LongPollTable(StubTable):
-    """A table without changes: each long poll runs into its time-out."""
+    """A table without changes: each long poll runs into its timeout."""
 
     polls = 0
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -24,7 +24,7 @@
         assert not limiter.waiting
 
     def release_and_block(loop, until, permit):
-        """Free the slot, and block the event loop until the time-out is due too."""
+        """Free the slot, and block the event loop until the timeout is due too."""
         permit.release()
         while loop.time() < until:
             pass
@@ -33,7 +33,7 @@
 
 
 def test_a_slot_granted_to_a_request_whose_time_just_ran_out_fails_nobody_else():
-    """The time-out cancels the awaited future before the request runs again."""
+    """The timeout cancels the awaited future before the request runs again."""
 
     async def race():
         limiter = ConcurrencyLimiter(FairQueue(slots=1, max_wait_s=9.0))
@@ -44,7 +44,7 @@
         due = loop.time() + 0.05
         failed = []
         loop.call_at(due - 0.001, block_loop, loop, due + 0.01)
-        # Both are due by then; the time-out runs first.
+        # Both are due by then; the timeout runs first.
         loop.call_at(due + 0.002, release_permit, first, failed)
         acquired = await waiting
         assert not failed
