--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -1,8 +1,7 @@
-"""A soak of several boxes: requests that crash endpoints come again and again, beside others, while boxes are
-killed and the table service is away. `python -m tests.soak_crashes --seed 1 --seconds 60` plays one.
+"""Soak test of the quarantine of requests that crash endpoints, with boxes killed and table outages.
 
-It holds that no request which crashes endpoints reaches more than three of them later than `TOLD_S` after its
-third crash, and that no other request is refused as one of them.
+`python -m tests.soak_crashes --seed 1 --seconds 60` runs it. It records how many endpoints a request reaches
+later than `MAX_PROPAGATION_S` after its third crash, and how many other requests are refused as quarantined.
 """
 
 import argparse
@@ -18,31 +17,34 @@
 from tests.site import Site
 from tests.standins.dialect import Endpoint
 
-TOLD_S = 3.0
-"""Seconds after a third crash from which boxes must know of it: the shortest bound of any deployment."""
+MAX_PROPAGATION_S = 3.0
+"""Time within which all boxes must learn of a third crash."""
 
-MOST_LATE = 3
-"""Endpoints that such a request may reach after that."""
+MAX_LATE = 3
+"""Endpoints that a request may reach after that time."""
 
 NEVER = float("-inf")
 OUTAGE_S = 2.0
-DOWN_S = 1.5
-"""Seconds for which the table service is away, and an endpoint that crashed."""
+RESTART_DELAY_S = 1.5
+"""Time until a crashed endpoint starts again."""
 
-REQUESTS_S = 30
-"""Requests a second, at any box, that crash nothing."""
+REQUESTS_PER_S = 30
+"""Rate of requests that crash nothing, over all boxes."""
 
-NEW_POISON_S = 6.0
-"""Seconds after which callers have another request that crashes endpoints, beside those before; each third
-one goes to a plain service."""
+NEW_POISON_INTERVAL_S = 6.0
+"""Interval at which another request that crashes endpoints is added; each third goes to a plain service."""
 
-POISONS_S = 2.0
-"""Comings of such requests a second."""
+POISONS_PER_S = 2.0
+"""Rate at which such requests are sent."""
 
 
 @dataclass
 class Outcome:
-    """What a soak showed. late: endpoints reached too late, by request. barred: others that were refused."""
+    """Result of a soak test.
+
+    late: endpoints reached too late, by request
+    barred: other requests that were refused as quarantined
+    """
 
     crashes: dict[str, int] = field(default_factory=dict)
     late: dict[str, int] = field(default_factory=dict)
@@ -52,42 +54,47 @@
 
 
 class Soak:
-    """The boxes, and what befalls them."""
+    """Sends requests to boxes, injects faults and records what reaches endpoints."""
 
-    def __init__(self, boxes: list[Site], chance: Random, seconds: float) -> None:
+    def __init__(self, boxes: list[Site], random: Random, seconds: float) -> None:
         self.boxes = boxes
         self.table = boxes[0].table
         self.endpoints = boxes[0].endpoints
-        self.chance = chance
-        self.end = asyncio.get_running_loop().time() + seconds
+        self.random = random
+        self.ends_at = asyncio.get_running_loop().time() + seconds
         self.outcome = Outcome()
-        self.began = asyncio.get_running_loop().time()
-        self.reached: dict[str, list[tuple[float, bool]]] = defaultdict(list)
-        self.crashed_at: dict[str, list[float]] = defaultdict(list)
+        self.started_at = asyncio.get_running_loop().time()
+        self.arrivals_by_request: dict[str, list[tuple[float, bool]]] = defaultdict(list)
+        self.crash_times_by_request: dict[str, list[float]] = defaultdict(list)
         self.box_by_call: dict[str, str] = {}
-        self.up_since: dict[str, float] = {box.name: NEVER for box in boxes}
-        self.table_since = NEVER
-        self.story: list[tuple[float, str]] = []
-        self.starts = 0
+        self.up_since_by_box: dict[str, float] = {box.name: NEVER for box in boxes}
+        self.table_up_since = NEVER
+        self.timeline: list[tuple[float, str]] = []
+        self.restart_count = 0
         self.calls: set[asyncio.Task] = set()
 
     async def run(self) -> Outcome:
-        """Play it to its end, and judge."""
+        """Run to the end, and count crashes and late arrivals."""
         for endpoint in self.endpoints:
             endpoint.on_poison = self._on_poison
-        await asyncio.gather(self._others(), self._poisons(), self._faults(), self._restarts())
+        await asyncio.gather(
+            self._send_requests(),
+            self._send_poison_requests(),
+            self._inject_faults(),
+            self._restart_crashed_endpoints(),
+        )
         await asyncio.gather(*self.calls)
-        for name, times in self.reached.items():
-            crashes = sorted(self.crashed_at[name])
+        for name, times in self.arrivals_by_request.items():
+            crashes = sorted(self.crash_times_by_request[name])
             self.outcome.crashes[name] = len(crashes)
             if len(crashes) >= 3:
-                late = [at for at, in_touch in times if in_touch and at > crashes[2] + TOLD_S]
+                late = [at for at, connected in times if connected and at > crashes[2] + MAX_PROPAGATION_S]
                 self.outcome.late[name] = len(late)
         return self.outcome
 
-    def told(self) -> list[str]:
-        """Return the story: what befell the boxes, and what they logged of crashes."""
-        lines = list(self.story)
+    def timeline_lines(self) -> list[str]:
+        """Return events and the boxes' log lines about crashes, in order of time."""
+        lines = list(self.timeline)
         for box in self.boxes:
             for line in box.log_lines:
                 if line["kind"] in ("crashed", "quarantine", "start", "part_failed"):
@@ -99,36 +106,36 @@
         name, box = body.decode().partition(" ")[0], self.box_by_call[call_id]
         now = asyncio.get_running_loop().time()
         if crashed:
-            self.crashed_at[name].append(now)
+            self.crash_times_by_request[name].append(now)
         else:
-            in_touch = now - max(self.up_since[box], self.table_since) > TOLD_S
-            self.reached[name].append((now, in_touch))
-        self._tell(f"{name} {'crashed' if crashed else 'reached'} one by {box}")
+            connected = now - max(self.up_since_by_box[box], self.table_up_since) > MAX_PROPAGATION_S
+            self.arrivals_by_request[name].append((now, connected))
+        self._record_event(f"{name} {'crashed' if crashed else 'reached'} one by {box}")
 
-    def _tell(self, what: str) -> None:
-        self.story.append((time.time(), what))
+    def _record_event(self, event: str) -> None:
+        self.timeline.append((time.time(), event))
 
-    def _left(self) -> bool:
-        return asyncio.get_running_loop().time() < self.end
+    def _running(self) -> bool:
+        return asyncio.get_running_loop().time() < self.ends_at
 
-    async def _others(self) -> None:
+    async def _send_requests(self) -> None:
         number = 0
-        while self._left():
+        while self._running():
             number += 1
-            self._start(self._other(number))
-            await asyncio.sleep(self.chance.expovariate(REQUESTS_S))
+            self._start_task(self._send_request(number))
+            await asyncio.sleep(self.random.expovariate(REQUESTS_PER_S))
 
-    def _start(self, call) -> None:
+    def _start_task(self, call) -> None:
         task = asyncio.create_task(call)
         self.calls.add(task)
         task.add_done_callback(self.calls.discard)
 
-    async def _other(self, number: int) -> None:
-        """Send a request, and once more at another box where it fails."""
-        plain = self.chance.random() < 0.3
-        for again in range(2):
-            box = self.chance.choice(self.boxes)
-            call_id = f"other-{number}-{again}"
+    async def _send_request(self, number: int) -> None:
+        """Send a request, and retry it once at a box drawn anew if it fails."""
+        plain = self.random.random() < 0.3
+        for retry in range(2):
+            box = self.random.choice(self.boxes)
+            call_id = f"other-{number}-{retry}"
             if plain:
                 answer = await box.call(f"/plain/{number}", "POST", call_id=call_id, body=b"plain")
             else:
@@ -141,84 +148,87 @@
             if answer.status == 503 and b"quarantined" in answer.body:
                 self.outcome.barred += 1
 
-    async def _poisons(self) -> None:
-        while self._left():
-            known = 2 + int((asyncio.get_running_loop().time() - self.began) / NEW_POISON_S)
-            # The newest come most often.
-            number = known - min(known, 1 + int(self.chance.expovariate(0.5)))
-            name, box = f"crash-{number}", self.chance.choice(self.boxes)
-            body, call_id = f"{name} POISON".encode(), f"{name}-{self.chance.random()}"
+    async def _send_poison_requests(self) -> None:
+        while self._running():
+            issued = 2 + int((asyncio.get_running_loop().time() - self.started_at) / NEW_POISON_INTERVAL_S)
+            # Newer requests are sent more often.
+            number = issued - min(issued, 1 + int(self.random.expovariate(0.5)))
+            name, box = f"crash-{number}", self.random.choice(self.boxes)
+            body, call_id = f"{name} POISON".encode(), f"{name}-{self.random.random()}"
             self.box_by_call[call_id] = box.name
             if number % 3 == 2:
-                self._start(box.call(f"/plain/{name}", "POST", call_id=call_id, body=body))
+                self._start_task(box.call(f"/plain/{name}", "POST", call_id=call_id, body=body))
             else:
-                self._start(box.prompt(f"/again/{name}", call_id=call_id, body=body))
-            await asyncio.sleep(self.chance.expovariate(POISONS_S))
-
-    async def _faults(self) -> None:
-        """Kill boxes one at a time, and have the table service away."""
-        while self._left():
-            await asyncio.sleep(self.chance.uniform(3.0, 5.0))
-            if self.chance.random() < 0.3:
-                self._tell("table service away")
+                self._start_task(box.prompt(f"/again/{name}", call_id=call_id, body=body))
+            await asyncio.sleep(self.random.expovariate(POISONS_PER_S))
+
+    async def _inject_faults(self) -> None:
+        """Kill boxes one at a time, and take the table service down."""
+        while self._running():
+            await asyncio.sleep(self.random.uniform(3.0, 5.0))
+            if self.random.random() < 0.3:
+                self._record_event("table service away")
                 self.table.down = True
-                self.table_since = float("inf")
+                self.table_up_since = float("inf")
                 await asyncio.sleep(OUTAGE_S)
                 self.table.down = False
-                self.table_since = asyncio.get_running_loop().time()
-                self._tell("table service back")
-            elif self._left():
-                box = self.chance.choice(self.boxes)
-                self._tell(f"{box.name} killed")
-                self.up_since[box.name] = float("inf")
+                self.table_up_since = asyncio.get_running_loop().time()
+                self._record_event("table service back")
+            elif self._running():
+                box = self.random.choice(self.boxes)
+                self._record_event(f"{box.name} killed")
+                self.up_since_by_box[box.name] = float("inf")
                 await box.kill_box()
                 await box.start_box()
                 await box.until_ready()
-                self.up_since[box.name] = asyncio.get_running_loop().time()
-                self._tell(f"{box.name} ready")
+                self.up_since_by_box[box.name] = asyncio.get_running_loop().time()
+                self._record_event(f"{box.name} ready")
 
-    async def _restarts(self) -> None:
-        """Start endpoints again that crashed, under new ids."""
-        while self._left():
+    async def _restart_crashed_endpoints(self) -> None:
+        """Restart crashed endpoints under new ids."""
+        while self._running():
             for endpoint in self.endpoints:
                 if endpoint.crashed:
-                    self._start(self._restart(endpoint))
+                    self._start_task(self._restart_endpoint(endpoint))
                     endpoint.crashed = False
             await asyncio.sleep(0.1)
 
-    async def _restart(self, endpoint: Endpoint) -> None:
-        await asyncio.sleep(DOWN_S)
+    async def _restart_endpoint(self, endpoint: Endpoint) -> None:
+        await asyncio.sleep(RESTART_DELAY_S)
         self.table.remove("servers", endpoint.id)
-        self.starts += 1
-        endpoint.id = f"{endpoint.id.partition('+')[0]}+{self.starts}"
+        self.restart_count += 1
+        endpoint.id = f"{endpoint.id.partition('+')[0]}+{self.restart_count}"
         await endpoint.again()
         self.table.put("servers", endpoint.id, endpoint.entry())
 
 
 async def soak(seed: int, seconds: float, boxes: int = 4, story: Path | None = None) -> Outcome:
-    """Play a soak, and return what it showed. story: a file for what happened when."""
+    """Run a soak test.
+
+    story: file that the timeline is written to
+    """
     async with several_boxes(boxes) as sites:
         for endpoint in sites[0].endpoints:
             endpoint.crashes_on = b"POISON"
             endpoint.heard = bool(endpoint.model)
             endpoint.events_made, endpoint.event_s = 12, 0.02
-        played = Soak(sites, Random(seed), seconds)
-        outcome = await played.run()
+        soak_run = Soak(sites, Random(seed), seconds)
+        outcome = await soak_run.run()
         if story is not None:
-            story.write_text("\n".join(played.told()) + "\n")
+            story.write_text("\n".join(soak_run.timeline_lines()) + "\n")
         return outcome
 
 
 def main() -> None:
-    """Play the soak that the command line names, and tell what it showed."""
+    """Run the soak test from the command line, and print its result as JSON."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--boxes", type=int, default=4)
     parser.add_argument("--story", type=Path)
-    chosen = parser.parse_args()
-    outcome = asyncio.run(soak(chosen.seed, chosen.seconds, chosen.boxes, chosen.story))
-    print(json.dumps({"seed": chosen.seed, "seconds": chosen.seconds, **vars(outcome)}))
+    arguments = parser.parse_args()
+    outcome = asyncio.run(soak(arguments.seed, arguments.seconds, arguments.boxes, arguments.story))
+    print(json.dumps({"seed": arguments.seed, "seconds": arguments.seconds, **vars(outcome)}))
 
 
 if __name__ == "__main__":
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -1,10 +1,7 @@
-"""The table service is away for a moment and comes back from a copy some seconds old.
+"""The table service is restored from a copy some seconds old, and issues the same revisions again.
 
-What was written since is gone, its numbers are given out again, and what operators and endpoints wrote is
-written once more. No box reads which era an answer is of, so that numbers that went back are taken for old
-news, and changes under numbers given out again are not seen; the fence of a lease goes back with its row.
-
-What a box does with that is seen at stand-ins of the endpoints; the boxes are real processes.
+Guards against boxes that ignore changes because their revisions are lower or known already.
+The boxes are real processes; the endpoints are stand-ins.
 """
 
 import asyncio
@@ -12,46 +9,48 @@
 
 from tests.many_boxes import two_boxes
 from tests.site import KEY, Site, configuration, eventually, name_version, site
-from tests.test_crashes import arm, come, crashed, known_everywhere
+from tests.test_crashes import crash_count, make_endpoints_crash, send_crashing_requests, wait_for_quarantine
 
-KNOWN_S = 3.0
-"""Seconds after which a change of operators' rows must be known to the box of a small site."""
+MAX_PROPAGATION_S = 3.0
+"""Time within which a box must learn of a change of operators' rows."""
 
-REVOKED_S = 5.0
-"""Seconds after which a key that was taken away must not be used any more."""
+MAX_REVOCATION_S = 5.0
+"""Time after which a revoked key must be refused."""
 
 LOST_WRITES = 500
-"""Rows written since the copy was made: endpoints write theirs each second."""
+"""Rows written since the copy was made, and lost."""
 
-AWAY_S = 0.5
+OUTAGE_S = 0.5
 
 
-def write_others(here: Site, count: int) -> None:
-    """Write rows of a table that nobody follows, so that the table service's numbers go on."""
+def write_unrelated_rows(here: Site, count: int) -> None:
+    """Write rows to a table that nobody follows, to advance the revision."""
     for number in range(count):
         here.table.put("elsewhere", "row", number)
 
 
-async def lose_seconds(
-    here: Site, since_copy: Callable[[], Awaitable[None]], again: Callable[[], None]
+async def restore_older_copy(
+    here: Site, write_after_copy: Callable[[], Awaitable[None]], write_again: Callable[[], None]
 ) -> None:
-    """Have things written after a copy, then have the table service come back from it. `again` writes what
-    operators and endpoints had written since."""
+    """Copy the table, make writes, and restore the copy after an outage.
+
+    write_again: repeats the lost writes of operators and endpoints
+    """
     copy = here.table.copy()
-    await since_copy()
+    await write_after_copy()
     here.table.down = True
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(OUTAGE_S)
     here.table.restore(copy)
-    again()
+    write_again()
     here.table.down = False
 
 
-async def nothing() -> None:
-    """Have nothing written but what goes on by itself."""
+async def write_nothing() -> None:
+    """Make no writes of the test's own."""
 
 
-def without_key(here: Site) -> list[dict]:
-    """Return the workspaces, without the key that callers use."""
+def workspaces_without_key(here: Site) -> list[dict]:
+    """Return the workspaces without the one whose key callers use."""
     tenants = configuration(1, here.stores)["tenants"]
     return [tenant for tenant in tenants if KEY not in tenant["api_keys"]]
 
@@ -60,14 +59,14 @@
     async def scenario():
         async with site(plain=2, halls=("hall-a", "hall-b")) as here:
 
-            async def others() -> None:
-                write_others(here, LOST_WRITES)
+            async def write_after_copy() -> None:
+                write_unrelated_rows(here, LOST_WRITES)
                 await asyncio.sleep(2.0)
 
-            await lose_seconds(here, others, lambda: None)
+            await restore_older_copy(here, write_after_copy, lambda: None)
             await asyncio.sleep(1.0)
             here.table.put("op", "evacuate/hall-a", {})
-            await asyncio.sleep(KNOWN_S)
+            await asyncio.sleep(MAX_PROPAGATION_S)
             before = len(here.endpoints[0].taken)
             for number in range(10):
                 assert (await here.call("/plain/x", call_id=f"call-{number}")).status == 200
@@ -82,13 +81,13 @@
             here.table.put("op", "evacuate/hall-a", {})
             await eventually(lambda: here.logged("evacuation", outcome="evacuated"))
 
-            async def others() -> None:
-                write_others(here, LOST_WRITES)
+            async def write_after_copy() -> None:
+                write_unrelated_rows(here, LOST_WRITES)
                 await asyncio.sleep(2.0)
 
-            await lose_seconds(here, others, lambda: None)
+            await restore_older_copy(here, write_after_copy, lambda: None)
             here.table.remove("op", "evacuate/hall-a")
-            await eventually(lambda: here.logged("evacuation", outcome="returned"), 2 * KNOWN_S)
+            await eventually(lambda: here.logged("evacuation", outcome="returned"), 2 * MAX_PROPAGATION_S)
 
     asyncio.run(scenario())
 
@@ -97,16 +96,16 @@
     async def scenario():
         async with site(plain=1) as here:
 
-            async def others() -> None:
-                write_others(here, LOST_WRITES)
+            async def write_after_copy() -> None:
+                write_unrelated_rows(here, LOST_WRITES)
                 await asyncio.sleep(1.5)
 
-            def again() -> None:
-                here.put_configuration(2, tenants=without_key(here))
-                write_others(here, 2 * LOST_WRITES)
+            def write_again() -> None:
+                here.put_configuration(2, tenants=workspaces_without_key(here))
+                write_unrelated_rows(here, 2 * LOST_WRITES)
 
-            await lose_seconds(here, others, again)
-            await asyncio.sleep(REVOKED_S)
+            await restore_older_copy(here, write_after_copy, write_again)
+            await asyncio.sleep(MAX_REVOCATION_S)
             assert (await here.call("/plain/x")).status == 401
 
     asyncio.run(scenario())
@@ -122,17 +121,17 @@
                     del copy.rows_by_key[key]
             name_version(first, 2)
             await eventually(lambda: engine.version == 2)
-            leader = first if first.logged("lease", outcome="taken") else second
-            await leader.kill_box()
+            leaseholder = first if first.logged("lease", outcome="taken") else second
+            await leaseholder.kill_box()
             first.table.down = True
-            await asyncio.sleep(AWAY_S)
+            await asyncio.sleep(OUTAGE_S)
             first.table.restore(copy)
             name_version(first, 2)
             first.table.down = False
             name_version(first, 3)
             await eventually(lambda: engine.version == 3, 15.0)
-            fences = {order["holder"]: order["fencing_token"] for order in engine.orders}
-            assert len(fences) == 2 and len(set(fences.values())) == 2
+            tokens_by_holder = {order["holder"]: order["fencing_token"] for order in engine.orders}
+            assert len(tokens_by_holder) == 2 and len(set(tokens_by_holder.values())) == 2
 
     asyncio.run(scenario())
 
@@ -141,17 +140,17 @@
     async def scenario():
         async with two_boxes(plain=0, engines=7, budget_window_s=1) as (first, second):
             await first.until_slack()
-            arm(first)
+            make_endpoints_crash(first)
             copy = first.table.copy()
-            await come(first, 2)
-            assert crashed(first) == 3
-            await known_everywhere(first, second)
+            await send_crashing_requests(first, 2)
+            assert crash_count(first) == 3
+            await wait_for_quarantine(first, second)
             first.table.down = True
-            await asyncio.sleep(AWAY_S)
+            await asyncio.sleep(OUTAGE_S)
             first.table.restore(copy)
             first.table.down = False
-            await asyncio.sleep(2 * KNOWN_S)
-            assert (await come(second, 1, name="after")).status == 503
-            assert crashed(first) == 3
+            await asyncio.sleep(2 * MAX_PROPAGATION_S)
+            assert (await send_crashing_requests(second, 1, name="after")).status == 503
+            assert crash_count(first) == 3
 
     asyncio.run(scenario())
