--- a/tests/loads/test_hall_returns_cold.py
+++ b/tests/loads/test_hall_returns_cold.py
@@ -13,12 +13,12 @@
 
 from stairquay.core.pace import COLD_SHARES, Pacer, standalone_pacer
 
-BEARS_PER_S = 18.0
-FALLS_OVER = 32
+COLD_LIMIT_PER_S = 18.0
+OVERLOAD_REQUESTS = 32
 """Requests within one second from which a cold engine falls over."""
 
 BOXES = 71
-COLD_S = 6.0
+SIMULATED_S = 6.0
 STEP_S = 0.005
 
 Sender = Callable[[float], bool]
@@ -27,42 +27,42 @@
 
 def router(start: float = 0.0) -> Sender:
     """A router that has always more prompts than the engine may get."""
-    pace = Pacer(start)
-    per_s = BEARS_PER_S * COLD_SHARES.router
+    pacer = Pacer(start)
+    per_s = COLD_LIMIT_PER_S * COLD_SHARES.router
 
     def sends(now: float) -> bool:
-        if now < start or pace.wait_s(now, per_s, COLD_SHARES.burst) > 0:
+        if now < start or pacer.wait_s(now, per_s, COLD_SHARES.burst) > 0:
             return False
-        pace.take(now, per_s)
+        pacer.take(now, per_s)
         return True
 
     return sends
 
 
-def box_alone(boxes: int, chance: Random, share: float = COLD_SHARES.standalone) -> Sender:
+def standalone_box(boxes: int, chance: Random, share: float = COLD_SHARES.standalone) -> Sender:
     """A box that finds no router to ask, and always has a prompt for the engine."""
-    held: list[Pacer | None] = [None]
-    per_s = BEARS_PER_S * share / boxes
+    current: list[Pacer | None] = [None]
+    per_s = COLD_LIMIT_PER_S * share / boxes
 
     def sends(now: float) -> bool:
-        pace = held[0] = standalone_pacer(held[0], now, per_s, chance)
-        if pace.wait_s(now, per_s) > 0:
+        pacer = current[0] = standalone_pacer(current[0], now, per_s, chance)
+        if pacer.wait_s(now, per_s) > 0:
             return False
-        pace.take(now, per_s)
+        pacer.take(now, per_s)
         return True
 
     return sends
 
 
-def box_with_full_share(boxes: int) -> Sender:
+def unpaced_box(boxes: int) -> Sender:
     """The way that lost: each box may spend its share of a second at once, and at least one request."""
-    pace = Pacer(0.0)
-    per_s = BEARS_PER_S / boxes
+    pacer = Pacer(0.0)
+    per_s = COLD_LIMIT_PER_S / boxes
 
     def sends(now: float) -> bool:
-        if pace.wait_s(now, per_s) > 0:
+        if pacer.wait_s(now, per_s) > 0:
             return False
-        pace.take(now, per_s)
+        pacer.take(now, per_s)
         return True
 
     return sends
@@ -71,34 +71,37 @@
 def busiest_second(senders: list[Sender]) -> int:
     """Return the most requests that the engine gets within one second."""
     sent_at: list[float] = []
-    for step in range(int(COLD_S / STEP_S)):
+    for step in range(int(SIMULATED_S / STEP_S)):
         now = step * STEP_S
         sent_at += [now for sends in senders if sends(now)]
     return max((sum(at <= other < at + 1.0 for other in sent_at) for at in sent_at), default=0)
 
 
 def test_one_router_uses_most_of_what_a_cold_engine_bears_and_never_more():
-    assert 0.6 * BEARS_PER_S <= busiest_second([router()]) <= BEARS_PER_S
+    assert 0.6 * COLD_LIMIT_PER_S <= busiest_second([router()]) <= COLD_LIMIT_PER_S
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_router_beside_boxes_that_find_none_stays_below_what_fells_an_engine(seed):
     chance = Random(seed)
-    senders = [router(), *(box_alone(BOXES, chance) for _ in range(BOXES))]
-    assert busiest_second(senders) < FALLS_OVER
+    senders = [router(), *(standalone_box(BOXES, chance) for _ in range(BOXES))]
+    assert busiest_second(senders) < OVERLOAD_REQUESTS
 
 
 @pytest.mark.parametrize("taken_over_at", (0.0, 0.3, 1.0))
 def test_two_routers_that_both_believe_an_engine_is_theirs_do_not_fell_it(taken_over_at):
-    assert busiest_second([router(), router(taken_over_at)]) <= FALLS_OVER
+    assert busiest_second([router(), router(taken_over_at)]) <= OVERLOAD_REQUESTS
 
 
 @pytest.mark.parametrize("boxes", (6, 71, 195, 330))
 def test_boxes_without_any_router_do_not_send_in_the_same_second(boxes):
     chance = Random(boxes)
-    assert busiest_second([box_alone(boxes, chance) for _ in range(boxes)]) < FALLS_OVER / 2
-    assert busiest_second([box_alone(boxes, chance, COLD_SHARES.unrouted) for _ in range(boxes)]) < FALLS_OVER
+    assert busiest_second([standalone_box(boxes, chance) for _ in range(boxes)]) < OVERLOAD_REQUESTS / 2
+    assert (
+        busiest_second([standalone_box(boxes, chance, COLD_SHARES.unrouted) for _ in range(boxes)])
+        < OVERLOAD_REQUESTS
+    )
 
 
 def test_shares_that_may_be_spent_at_once_would_fell_it():
-    assert busiest_second([box_with_full_share(BOXES) for _ in range(BOXES)]) > FALLS_OVER
+    assert busiest_second([unpaced_box(BOXES) for _ in range(BOXES)]) > OVERLOAD_REQUESTS
--- a/tests/loads/test_limits_that_fall.py
+++ b/tests/loads/test_limits_that_fall.py
@@ -15,19 +15,19 @@
 from stairquay.serving.pacing import count_sent, wait_s
 from stairquay.serving.state import BoxState
 from stairquay.serving.statements import apply_limit
-from tests.loads.test_limits_of_endpoints import PLAIN, box_of
+from tests.loads.test_limits_of_endpoints import PLAIN, make_box
 
 WINDOW_S = 4.0
-KNOWN_S = 3.0
-BEFORE, AFTER = 25.0, 1.0
-SENT_AT, FELL_AT = 100.0, 130.0
+PROPAGATION_S = 3.0
+OLD_LIMIT_PER_S, NEW_LIMIT_PER_S = 25.0, 1.0
+OLD_LIMIT_AT, NEW_LIMIT_AT = 100.0, 130.0
 
 
-def names(state: BoxState, per_s: float, at: float) -> None:
+def receive_limit(state: BoxState, per_s: float, at: float) -> None:
     apply_limit(state, PLAIN, state.endpoint_state(PLAIN), LimitReport(per_s, at, at))
 
 
-def sends(state: BoxState, at: float, chance: Random) -> bool:
+def try_send(state: BoxState, at: float, chance: Random) -> bool:
     if wait_s(state, PLAIN, at, chance) > 0:
         return False
     count_sent(state, PLAIN, at, chance)
@@ -37,13 +37,13 @@
 @pytest.mark.parametrize("boxes", (6, 71, 195, 330))
 def test_boxes_that_had_nothing_to_send_keep_to_a_limit_that_fell(boxes):
     chance = Random(boxes)
-    came = 0
+    sent = 0
     for number in range(boxes):
-        state = box_of(f"b-{number}", boxes)
-        names(state, BEFORE, SENT_AT)
-        at = SENT_AT
-        while not sends(state, at, chance):
+        state = make_box(f"b-{number}", boxes)
+        receive_limit(state, OLD_LIMIT_PER_S, OLD_LIMIT_AT)
+        at = OLD_LIMIT_AT
+        while not try_send(state, at, chance):
             at += 0.1
-        names(state, AFTER, FELL_AT)
-        came += sends(state, FELL_AT + KNOWN_S + chance.random() * WINDOW_S, chance)
-    assert came <= 1.5 * AFTER * WINDOW_S + 5
+        receive_limit(state, NEW_LIMIT_PER_S, NEW_LIMIT_AT)
+        sent += try_send(state, NEW_LIMIT_AT + PROPAGATION_S + chance.random() * WINDOW_S, chance)
+    assert sent <= 1.5 * NEW_LIMIT_PER_S * WINDOW_S + 5
--- a/tests/loads/test_rests_that_end.py
+++ b/tests/loads/test_rests_that_end.py
@@ -17,20 +17,20 @@
 from stairquay.serving.statements import apply_feedback, backoffs_by_id, record_probe
 from tests.states import box_state
 
-REST_S = 3.0
+BACKOFF_S = 3.0
 ASKED_WITHIN_S = 0.1
 WINDOW_S = 0.1
-BURST = 2.0
+MAX_LOAD_FACTOR = 2.0
 """Times what an endpoint does in a window that may come in one: its queue bears as much again."""
 
-LATEST_S = 2 * REST_S
+MAX_RESUME_S = 2 * BACKOFF_S
 """Seconds from when a box was asked within which it sends again."""
 
-FLEETS = (1, 6, 71, 195, 330)
-SHAPES = ((6, 0.045), (64, 1.0))
+FLEET_SIZES = (1, 6, 71, 195, 330)
+ENDPOINT_PROFILES = ((6, 0.045), (64, 1.0))
 
 
-def box_of(number: int, boxes: int, endpoint: Endpoint, work_s: float) -> BoxState:
+def make_box(number: int, boxes: int, endpoint: Endpoint, work_s: float) -> BoxState:
     state = box_state(f"b-{number:03}")
     apply_endpoints(state, EndpointChanges(1, True, (endpoint,)), 0.0)
     state.boxes, state.boxes_known_at = tuple(f"b-{other:03}" for other in range(boxes)), 0.0
@@ -38,28 +38,28 @@
     return state
 
 
-def sends_again_at(state: BoxState, endpoint: Endpoint, asked_at: float) -> float:
+def resume_time(state: BoxState, endpoint: Endpoint, asked_at: float) -> float:
     """Return when a box that always has work for an endpoint sends it the next request."""
     apply_feedback(
-        state, endpoint, state.endpoint_state(endpoint), Feedback(backoff_s=REST_S), asked_at, asked_at
+        state, endpoint, state.endpoint_state(endpoint), Feedback(backoff_s=BACKOFF_S), asked_at, asked_at
     )
-    steps = range(int(LATEST_S * 200) + 1)
+    steps = range(int(MAX_RESUME_S * 200) + 1)
     return next(asked_at + step / 200 for step in steps if not backoffs_by_id(state, asked_at + step / 200))
 
 
-@pytest.mark.parametrize("boxes", FLEETS)
-@pytest.mark.parametrize(("slots", "work_s"), SHAPES)
+@pytest.mark.parametrize("boxes", FLEET_SIZES)
+@pytest.mark.parametrize(("slots", "work_s"), ENDPOINT_PROFILES)
 def test_boxes_that_were_asked_for_rest_together_come_back_as_the_endpoint_takes_them(boxes, slots, work_s):
     chance = Random(boxes)
     endpoint = Endpoint("e", "plain", "10.0.1.1:1", "hall-a", slots)
     times = []
     for number in range(boxes):
-        state = box_of(number, boxes, endpoint, work_s)
+        state = make_box(number, boxes, endpoint, work_s)
         asked_at = 100.0 + chance.random() * ASKED_WITHIN_S
-        again_at = sends_again_at(state, endpoint, asked_at)
-        assert again_at >= asked_at + REST_S
-        record_probe(state.endpoint_state(endpoint), again_at)
-        assert backoffs_by_id(state, again_at + 0.01), "the next one waits for the answer"
-        times.append(again_at)
+        resumed_at = resume_time(state, endpoint, asked_at)
+        assert resumed_at >= asked_at + BACKOFF_S
+        record_probe(state.endpoint_state(endpoint), resumed_at)
+        assert backoffs_by_id(state, resumed_at + 0.01), "the next one waits for the answer"
+        times.append(resumed_at)
     fullest = max(sum(start <= at < start + WINDOW_S for at in times) for start in times)
-    assert fullest <= max(1, slots, BURST * WINDOW_S * slots / work_s)
+    assert fullest <= max(1, slots, MAX_LOAD_FACTOR * WINDOW_S * slots / work_s)
