--- a/tests/soak_statements.py
+++ b/tests/soak_statements.py
@@ -24,35 +24,35 @@
 from tests.site import Site
 from tests.standins.dialect import Endpoint
 
-KNOWN_S, TOLD_S, WINDOW_S = 3.0, 0.5, 4.0
+PROPAGATION_S, REACTION_S, WINDOW_S = 3.0, 0.5, 4.0
 """As in tests.test_limits: when a limit binds after its first naming, and a box after it was told."""
 
-IN_TOUCH_S = 3.0
+RECOVERY_S = 3.0
 """Seconds after its start, or after it went on, from which a box counts."""
 
 DRAIN_S = 2.0
-REST_KNOWN_S, MOST_AT_REST = 0.5, 2
+BACKOFF_REACTION_S, MAX_DURING_BACKOFF = 0.5, 2
 """As in tests.test_statements: when leaving binds a box that was told, when rest does, and what it bears."""
 
-RESTS = ("0.4", "1.5", "3", "4.25", "soon", "a date")
-REQUESTS_S = 60.0
+RETRY_AFTER_VALUES = ("0.4", "1.5", "3", "4.25", "soon", "a date")
+REQUESTS_PER_S = 60.0
 LIMITS = (0.0, 0.3, 1.0, 2.0, 4.0, 8.0)
 OUTAGE_S = 2.0
 NEVER = float("-inf")
 
 
 @dataclass
-class Naming:
+class LimitPeriod:
     """One time for which an endpoint names a limit: the limits, each with its beginning, and the end."""
 
     limits: list[tuple[float, float]]
     until: float = float("inf")
 
-    def highest(self, start: float, end: float) -> float:
+    def max_limit(self, start: float, end: float) -> float:
         """Return the highest limit that bound boxes at any time in a span."""
         following = [*(at for at, _ in self.limits[1:]), self.until]
         spans = zip(self.limits, following, strict=True)
-        return max(per_s for (at, per_s), gone in spans if at < end and gone + KNOWN_S > start)
+        return max(per_s for (at, per_s), ended in spans if at < end and ended + PROPAGATION_S > start)
 
 
 @dataclass
@@ -77,7 +77,7 @@
     healed: int = 0
 
 
-def now_s() -> float:
+def loop_time() -> float:
     return asyncio.get_running_loop().time()
 
 
@@ -88,47 +88,51 @@
         self.boxes = boxes
         self.table, self.endpoints = boxes[0].table, boxes[0].endpoints
         self.chance = chance
-        self.end = now_s() + seconds
+        self.end = loop_time() + seconds
         self.outcome = Outcome()
         self.box_by_call: dict[str, str] = {}
-        self.lives: dict[str, list[float]] = {endpoint.id: [NEVER] for endpoint in self.endpoints}
-        self.rest_until: dict[str, float] = {}
-        self.namings: dict[str, list[Naming]] = {endpoint.id: [] for endpoint in self.endpoints}
-        self.away: dict[str, list[tuple[float, float]]] = {box.name: [] for box in boxes}
+        self.incarnations_started: dict[str, list[float]] = {
+            endpoint.id: [NEVER] for endpoint in self.endpoints
+        }
+        self.backoff_until_by_date: dict[str, float] = {}
+        self.limit_periods: dict[str, list[LimitPeriod]] = {endpoint.id: [] for endpoint in self.endpoints}
+        self.downtimes: dict[str, list[tuple[float, float]]] = {box.name: [] for box in boxes}
         self.calls: set[asyncio.Task] = set()
 
     async def run(self) -> Outcome:
         """Play it to its end, and judge."""
-        limits = [self._limits(endpoint) for endpoint in self.endpoints]
+        limits = [self._vary_limits(endpoint) for endpoint in self.endpoints]
         # Limits of the others are judged over windows that no new life cuts short.
-        leaving = [self._leave(endpoint) for endpoint in self.endpoints[::2]]
-        resting = [self._rest(endpoint) for endpoint in self.endpoints]
-        await asyncio.gather(self._press(), self._all_at_once(), self._faults(), *limits, *leaving, *resting)
+        leaving = [self._leave_and_restart(endpoint) for endpoint in self.endpoints[::2]]
+        backoffs = [self._request_backoffs(endpoint) for endpoint in self.endpoints]
+        await asyncio.gather(
+            self._send_load(), self._limit_all(), self._inject_faults(), *limits, *leaving, *backoffs
+        )
         for endpoint in self.endpoints:
-            self._name(endpoint, None)
+            self._set_limit(endpoint, None)
         await asyncio.gather(*self.calls)
-        await self._heal()
+        await self._check_recovery()
         for endpoint in self.endpoints:
-            for naming in self.namings[endpoint.id]:
-                self._judge(endpoint, naming)
-            self._judge_leaving(endpoint)
-            self._judge_rests(endpoint)
+            for period in self.limit_periods[endpoint.id]:
+                self._check_limits(endpoint, period)
+            self._check_leaving(endpoint)
+            self._check_backoffs(endpoint)
         return self.outcome
 
-    def _left(self) -> bool:
-        return now_s() < self.end
+    def _running(self) -> bool:
+        return loop_time() < self.end
 
-    def _start(self, call: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, call: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(call)
         self.calls.add(task)
         task.add_done_callback(self.calls.discard)
 
-    async def _press(self) -> None:
+    async def _send_load(self) -> None:
         number = 0
-        while self._left():
+        while self._running():
             number += 1
-            self._start(self._request(number))
-            await asyncio.sleep(self.chance.expovariate(REQUESTS_S))
+            self._start_task(self._request(number))
+            await asyncio.sleep(self.chance.expovariate(REQUESTS_PER_S))
 
     async def _request(self, number: int) -> None:
         """Send a request, and again as told where it is refused."""
@@ -146,33 +150,33 @@
             self.outcome.refused += answer.status == 503
             await asyncio.sleep(min(1.0, float(answer.headers.get("Retry-After", 0.25))))
 
-    def _name(self, endpoint: Endpoint, limit: float | None) -> None:
+    def _set_limit(self, endpoint: Endpoint, limit: float | None) -> None:
         """Have an endpoint name a limit from now on, or none."""
         before = endpoint.limit
         endpoint.limit = None if limit is None else str(limit)
-        told = self.namings[endpoint.id]
+        periods = self.limit_periods[endpoint.id]
         if limit is None:
             if before is not None:
-                told[-1].until = now_s()
+                periods[-1].until = loop_time()
         elif before is None:
-            told.append(Naming([(now_s(), limit)]))
+            periods.append(LimitPeriod([(loop_time(), limit)]))
         else:
-            told[-1].limits.append((now_s(), limit))
+            periods[-1].limits.append((loop_time(), limit))
 
-    async def _limits(self, endpoint: Endpoint) -> None:
+    async def _vary_limits(self, endpoint: Endpoint) -> None:
         """Have an endpoint name a limit from time to time, which may change."""
-        while self._left():
+        while self._running():
             await asyncio.sleep(self.chance.uniform(2.0, 12.0))
             for _ in range(self.chance.choice((1, 1, 2))):
-                self._name(endpoint, self.chance.choice(LIMITS))
+                self._set_limit(endpoint, self.chance.choice(LIMITS))
                 await asyncio.sleep(self.chance.uniform(8.0, 14.0))
-            self._name(endpoint, None)
+            self._set_limit(endpoint, None)
 
-    async def _leave(self, endpoint: Endpoint) -> None:
+    async def _leave_and_restart(self, endpoint: Endpoint) -> None:
         """Have an endpoint leave from time to time, and start again. Its entry goes on saying that it is
         ready, or lapses and returns meanwhile, or tells late that it leaves."""
         chance = Random(self.chance.random())
-        while self._left():
+        while self._running():
             await asyncio.sleep(chance.uniform(5.0, 18.0))
             endpoint.leaving = "1"
             await asyncio.sleep(chance.uniform(1.0, 3.0))
@@ -186,41 +190,43 @@
             await asyncio.sleep(chance.uniform(0.0, 3.0))
             endpoint.leaving = None
             endpoint.born += 1_000
-            self.lives[endpoint.id].append(now_s())
+            self.incarnations_started[endpoint.id].append(loop_time())
             if endpoint.limit is not None:
                 # The limit of the last life binds nobody in this one, which names its own.
                 limit = float(endpoint.limit)
-                self._name(endpoint, None)
-                self._name(endpoint, limit)
+                self._set_limit(endpoint, None)
+                self._set_limit(endpoint, limit)
             self.table.put("servers", endpoint.id, endpoint.entry())
 
-    async def _rest(self, endpoint: Endpoint) -> None:
+    async def _request_backoffs(self, endpoint: Endpoint) -> None:
         """Have an endpoint turn requests away from time to time, and ask for rest: in whole seconds, in parts
         of one, by a date, in words that nobody understands."""
         chance = Random(self.chance.random())
-        while self._left():
+        while self._running():
             await asyncio.sleep(chance.uniform(2.0, 12.0))
-            endpoint.rest = chance.choice(RESTS)
+            endpoint.rest = chance.choice(RETRY_AFTER_VALUES)
             if endpoint.rest == "a date":
                 until = datetime.now(UTC).replace(microsecond=0) + timedelta(seconds=4)
                 endpoint.rest = format_datetime(until, usegmt=True)
-                self.rest_until[endpoint.rest] = now_s() + (until - datetime.now(UTC)).total_seconds()
+                self.backoff_until_by_date[endpoint.rest] = (
+                    loop_time() + (until - datetime.now(UTC)).total_seconds()
+                )
             endpoint.refuse = 100_000
             await asyncio.sleep(chance.uniform(0.5, 4.0))
             endpoint.refuse = 0
 
-    async def _all_at_once(self) -> None:
+    async def _limit_all(self) -> None:
         """Once, have all endpoints name limits together."""
         await asyncio.sleep(self.chance.uniform(5.0, 15.0))
         for endpoint in self.endpoints:
             if endpoint.limit is None:
-                self._name(endpoint, self.chance.choice(LIMITS))
+                self._set_limit(endpoint, self.chance.choice(LIMITS))
 
-    async def _faults(self) -> None:
-        while self._left():
+    async def _inject_faults(self) -> None:
+        while self._running():
             await asyncio.sleep(self.chance.uniform(2.0, 5.0))
             box, kind = self.chance.choice(self.boxes), self.chance.random()
-            began = now_s()
+            began = loop_time()
             if kind < 0.25:
                 self.table.down = True
                 await asyncio.sleep(OUTAGE_S)
@@ -235,71 +241,71 @@
                 box.box.send_signal(signal.SIGSTOP)
                 await asyncio.sleep(self.chance.uniform(0.5, 3.0))
                 box.box.send_signal(signal.SIGCONT)
-            self.away[box.name].append((began, now_s()))
+            self.downtimes[box.name].append((began, loop_time()))
 
-    async def _heal(self) -> None:
+    async def _check_recovery(self) -> None:
         """Send requests until all endpoints have got some again, or for a while."""
         before = {endpoint.id: len(endpoint.arrived) for endpoint in self.endpoints}
-        until = now_s() + 20.0
-        while now_s() < until and self.outcome.healed < len(self.endpoints):
+        until = loop_time() + 20.0
+        while loop_time() < until and self.outcome.healed < len(self.endpoints):
             both = (box.call("/plain/x", call_id="heal") for box in self.boxes for _ in range(4))
             prompts = (box.prompt("/again/x", call_id="heal") for box in self.boxes for _ in range(8))
             await asyncio.gather(*both, *prompts)
             got = (len(endpoint.arrived) - before[endpoint.id] > 5 for endpoint in self.endpoints)
             self.outcome.healed = sum(got)
 
-    def _in_touch(self, box: str, at: float) -> bool:
-        return not any(began <= at <= ended + IN_TOUCH_S for began, ended in self.away[box])
+    def _is_connected(self, box: str, at: float) -> bool:
+        return not any(began <= at <= ended + RECOVERY_S for began, ended in self.downtimes[box])
 
-    def _away_between(self, box: str, start: float, end: float) -> bool:
-        return any(began <= end and ended >= start for began, ended in self.away[box])
+    def _was_down_between(self, box: str, start: float, end: float) -> bool:
+        return any(began <= end and ended >= start for began, ended in self.downtimes[box])
 
-    def _judge_leaving(self, endpoint: Endpoint) -> None:
+    def _check_leaving(self, endpoint: Endpoint) -> None:
         """Nothing comes from a box later than it may after the same life told it that it leaves."""
-        told: dict[tuple[str, float], float] = {}
+        told_at_by_box: dict[tuple[str, float], float] = {}
         for at, call_id in endpoint.told_leaving:
             box = self.box_by_call.get(call_id)
             if box is not None:
                 self.outcome.leavings += 1
-                told.setdefault((box, self._life_at(endpoint, at)), at)
+                told_at_by_box.setdefault((box, self._incarnation_at(endpoint, at)), at)
         for at, call_id in endpoint.arrived:
             box = self.box_by_call.get(call_id)
             if box is None:
                 continue
-            told_at = told.get((box, self._life_at(endpoint, at)), float("inf"))
-            if at > told_at + DRAIN_S and not self._away_between(box, told_at, at):
+            told_at = told_at_by_box.get((box, self._incarnation_at(endpoint, at)), float("inf"))
+            if at > told_at + DRAIN_S and not self._was_down_between(box, told_at, at):
                 late = f"{at - told_at:.2f} s after it said that it leaves"
                 self.outcome.broken.append(f"{endpoint.id}: from {box} {late}")
 
-    def _life_at(self, endpoint: Endpoint, at: float) -> float:
-        return max(began for began in self.lives[endpoint.id] if began <= at)
+    def _incarnation_at(self, endpoint: Endpoint, at: float) -> float:
+        return max(began for began in self.incarnations_started[endpoint.id] if began <= at)
 
-    def _judge_rests(self, endpoint: Endpoint) -> None:
+    def _check_backoffs(self, endpoint: Endpoint) -> None:
         """No more than two come from a box while an endpoint has asked it for rest."""
         for at, call_id, text in endpoint.rested:
             box = self.box_by_call.get(call_id)
-            until = self._rest_until(at, text)
-            if box is None or self._away_between(box, at, until):
+            until = self._backoff_until(at, text)
+            if box is None or self._was_down_between(box, at, until):
                 continue
-            if self._life_at(endpoint, at) != self._life_at(endpoint, until):
+            if self._incarnation_at(endpoint, at) != self._incarnation_at(endpoint, until):
                 continue
             self.outcome.rests += 1
             got = sum(
-                at + REST_KNOWN_S < sent < until and self.box_by_call.get(other) == box
+                at + BACKOFF_REACTION_S < sent < until and self.box_by_call.get(other) == box
                 for sent, other in endpoint.arrived
             )
-            if got > MOST_AT_REST:
+            if got > MAX_DURING_BACKOFF:
                 self.outcome.broken.append(f"{endpoint.id}: {got} from {box} in {until - at:.2f} s of rest")
 
-    def _rest_until(self, at: float, text: str) -> float:
-        if text in self.rest_until:
-            return self.rest_until[text]
+    def _backoff_until(self, at: float, text: str) -> float:
+        if text in self.backoff_until_by_date:
+            return self.backoff_until_by_date[text]
         return NEVER if text == "soon" else at + float(text)
 
-    def _told_at(self, endpoint: Endpoint, naming: Naming, box: str, at: float) -> float:
+    def _informed_at(self, endpoint: Endpoint, period: LimitPeriod, box: str, at: float) -> float:
         """Return when a box was first told of a limit, in the life that it had at a time."""
-        lives = [ended for _, ended in self.away[box] if ended <= at]
-        since = max([naming.limits[0][0], *lives])
+        restarted_at = [ended for _, ended in self.downtimes[box] if ended <= at]
+        since = max([period.limits[0][0], *restarted_at])
         told = [
             told_at
             for told_at, call_id in endpoint.named
@@ -307,32 +313,34 @@
         ]
         return min(told, default=float("inf"))
 
-    def _judge(self, endpoint: Endpoint, naming: Naming) -> None:
-        told = [at for at, _ in endpoint.named if naming.limits[0][0] <= at < naming.until]
-        if not told:
+    def _check_limits(self, endpoint: Endpoint, period: LimitPeriod) -> None:
+        limit_sent_at = [at for at, _ in endpoint.named if period.limits[0][0] <= at < period.until]
+        if not limit_sent_at:
             return
         counted = [
             at
             for at, call_id in endpoint.arrived
-            if told[0] <= at < naming.until
+            if limit_sent_at[0] <= at < period.until
             and (box := self.box_by_call.get(call_id)) is not None
-            and self._in_touch(box, at)
-            and self._told_at(endpoint, naming, box, at) + TOLD_S <= at
+            and self._is_connected(box, at)
+            and self._informed_at(endpoint, period, box, at) + REACTION_S <= at
         ]
         for start in counted:
-            if start < told[0] + KNOWN_S or start + WINDOW_S > naming.until:
+            if start < limit_sent_at[0] + PROPAGATION_S or start + WINDOW_S > period.until:
                 continue
             got = sum(start <= at < start + WINDOW_S for at in counted)
-            limit = naming.highest(start, start + WINDOW_S)
-            borne = 1.5 * limit * WINDOW_S + 5
+            limit = period.max_limit(start, start + WINDOW_S)
+            allowed = 1.5 * limit * WINDOW_S + 5
             self.outcome.windows += 1
-            if got / borne > self.outcome.highest_share:
-                self.outcome.highest_share = round(got / borne, 2)
-                self.outcome.fullest = self._window(endpoint, limit, start)
-            if got > borne:
-                self.outcome.broken.append(f"{endpoint.id}: {got} in 4 s, limit {limit}, {borne:.0f} allowed")
-
-    def _window(self, endpoint: Endpoint, limit: float, start: float) -> str:
+            if got / allowed > self.outcome.highest_share:
+                self.outcome.highest_share = round(got / allowed, 2)
+                self.outcome.fullest = self._describe_window(endpoint, limit, start)
+            if got > allowed:
+                self.outcome.broken.append(
+                    f"{endpoint.id}: {got} in 4 s, limit {limit}, {allowed:.0f} allowed"
+                )
+
+    def _describe_window(self, endpoint: Endpoint, limit: float, start: float) -> str:
         """Return what came in a window, by box, in seconds from its start."""
         came = [
             f"{self.box_by_call.get(call_id)} {at - start:.2f}"
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -39,7 +39,7 @@
     return state
 
 
-def chosen(state: BoxState, sender: str = "b-2") -> Choice:
+def choose(state: BoxState, sender: str = "b-2") -> Choice:
     service = CATALOG.services_by_id["llm"]
     choice = choose_endpoint(state, CATALOG, ChoiceRequest(service, PROMPT, sender=sender), CHANCE)
     assert choice is not None
@@ -49,34 +49,34 @@
 def test_runs_whose_end_a_router_was_never_told_do_not_fill_an_engine():
     state = router_state()
     state.endpoints_by_id["e-0"].in_flight = 40
-    assert chosen(state).backlog_s == 0.0
+    assert choose(state).backlog_s == 0.0
 
 
 def test_runs_that_a_router_placed_since_the_report_do():
     state = router_state()
-    held = state.endpoints_by_id["e-0"]
-    held.in_flight = 12
+    endpoint_state = state.endpoints_by_id["e-0"]
+    endpoint_state.in_flight = 12
     for _ in range(12):
-        held.on_sent(10, monotonic())
-    assert chosen(state).backlog_s > 1.0
+        endpoint_state.on_sent(10, monotonic())
+    assert choose(state).backlog_s > 1.0
 
 
 def test_a_router_knows_how_long_an_engine_reads_what_it_placed():
     state = router_state(2)
     state.endpoints_by_id["e-0"].on_placed(0.5, monotonic())
-    assert all(chosen(state).endpoint.id == "e-1" for _ in range(5))
+    assert all(choose(state).endpoint.id == "e-1" for _ in range(5))
     state.endpoints_by_id["e-1"].on_placed(0.8, monotonic())
-    choice = chosen(state)
+    choice = choose(state)
     assert choice.endpoint.id == "e-0" and 0.4 < choice.backlog_s <= 0.5
 
 
 def test_each_box_has_engines_of_its_own_among_equals_and_leaves_them_where_they_are_busy():
     state = router_state(8)
-    own = {chosen(state, "b-7").endpoint.id for _ in range(40)}
-    assert len(own) == 2
-    for name in own:
+    preferred = {choose(state, "b-7").endpoint.id for _ in range(40)}
+    assert len(preferred) == 2
+    for name in preferred:
         state.endpoints_by_id[name].on_placed(0.1, monotonic())
-    assert chosen(state, "b-7").endpoint.id not in own
+    assert choose(state, "b-7").endpoint.id not in preferred
 
 
 def test_a_box_without_a_router_chooses_between_two_engines_by_chance():
@@ -111,12 +111,12 @@
     state = router_state(2)
     state.holdings.expect("10.0.1.0:1", "/m/0", "aa", 500)
     state.holdings.expect("10.0.1.0:1", "/m/0", "bb", 300)
-    part = LocalRouter(state, CHANCE)
+    local_router = LocalRouter(state, CHANCE)
     parts = (PromptPart("aa", 500), PromptPart("bb", 300))
     for number in range(3):
-        part.place(PlaceRequest(f"t{number}", "b-2", "llm", "m", parts, 800, 20, "", ("e-1",)))
+        local_router.place(PlaceRequest(f"t{number}", "b-2", "llm", "m", parts, 800, 20, "", ("e-1",)))
     assert state.endpoints_by_id["e-0"].used_tokens(monotonic()) == 2_400
-    part.finished(EndedAttempt("t0", Outcome.TURNED_AWAY))
+    local_router.finished(EndedAttempt("t0", Outcome.TURNED_AWAY))
     assert state.endpoints_by_id["e-0"].used_tokens(monotonic()) == 1_600
 
 
@@ -131,13 +131,13 @@
     state = router_state()
     state.target_version_by_model["m"] = 2
     state.endpoints_by_id["e-0"].reported_at = monotonic() - 1.0
-    giver = RolloutController(state, None, Peers())
-    asyncio.run(giver._refresh_reports([EngineState("e-0", "m", 1)]))
+    controller = RolloutController(state, None, Peers())
+    asyncio.run(controller._refresh_reports([EngineState("e-0", "m", 1)]))
     assert Peers.asked == ["10.0.1.0:1"]
     state.endpoints_by_id["e-0"].reported_at = monotonic()
-    asyncio.run(giver._refresh_reports([EngineState("e-0", "m", 1)]))
+    asyncio.run(controller._refresh_reports([EngineState("e-0", "m", 1)]))
     assert len(Peers.asked) == 1
-    asyncio.run(giver._refresh_reports([EngineState("e-0", "m", 1, busy=True)]))
+    asyncio.run(controller._refresh_reports([EngineState("e-0", "m", 1, busy=True)]))
     assert len(Peers.asked) == 2
 
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -17,36 +17,36 @@
 ENDPOINT = Endpoint("e", "s", "a:1")
 SHOWN = Ok(EndpointChanges(1, True, (ENDPOINT,)))
 GONE = Ok(EndpointChanges(2, False, (), ("e",)))
-GONE_WHOLE = Ok(EndpointChanges(2, True))
+GONE_SNAPSHOT = Ok(EndpointChanges(2, True))
 
 
-class Script:
+class ScriptedFeed:
     """Gives answers in a row, each after a time; keeps when each was asked for and given."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.asked_at = []
-        self.given_at = []
+        self.requested_at = []
+        self.answered_at = []
 
     async def read_endpoints(self):
-        self.asked_at.append(monotonic())
+        self.requested_at.append(monotonic())
         if not self.answers:
             await asyncio.sleep(60)
         after_s, answer = self.answers.pop(0)
         await asyncio.sleep(after_s)
-        self.given_at.append(monotonic())
+        self.answered_at.append(monotonic())
         return answer
 
     async def follow_endpoints(self, after, wait_s):
         return await self.read_endpoints()
 
 
-async def followed(*answers) -> tuple[BoxState, Script]:
+async def follow_answers(*answers) -> tuple[BoxState, ScriptedFeed]:
     """Follow a list that gives these answers, until all are taken in."""
     state = box_state()
-    script = Script(*answers)
+    script = ScriptedFeed(*answers)
     following = asyncio.create_task(follow_endpoints(state, script))
-    await eventually(lambda: len(script.asked_at) > len(answers), 8.0)
+    await eventually(lambda: len(script.requested_at) > len(answers), 8.0)
     following.cancel()
     return state, script
 
@@ -61,14 +61,14 @@
 
     async def case(gone, between, behind_s) -> None:
         shown = Ok(EndpointChanges(1, True, (ENDPOINT,), behind_s=behind_s))
-        state, script = await followed((0.0, shown), *between, (0.1, gone))
-        end_at = script.asked_at[0] - behind_s + MISSING_GRACE_S
+        state, script = await follow_answers((0.0, shown), *between, (0.1, gone))
+        end_at = script.requested_at[0] - behind_s + MISSING_GRACE_S
         assert usable(state, end_at - 0.1)
         assert not usable(state, end_at + 0.1)
 
     async def scenario():
         forgotten = [(0.0, Err(FeedFault.HISTORY_GONE))]
-        cases = product([GONE, GONE_WHOLE], [[], forgotten], [0.0, 0.3])
+        cases = product([GONE, GONE_SNAPSHOT], [[], forgotten], [0.0, 0.3])
         await asyncio.gather(*(case(*values) for values in cases))
 
     asyncio.run(scenario())
@@ -77,12 +77,12 @@
 def test_an_entry_that_lapsed_in_an_outage_is_a_last_resort_from_the_first_view_after_it():
     async def case(gone) -> None:
         unreached = (0.7, Err(FeedFault.UNREACHED))
-        state, script = await followed((0.0, SHOWN), unreached, unreached, (0.0, gone))
-        assert usable(state, script.given_at[-1] + MISSING_GRACE_S - 0.1)
-        assert not usable(state, script.given_at[-1] + MISSING_GRACE_S + 0.5)
+        state, script = await follow_answers((0.0, SHOWN), unreached, unreached, (0.0, gone))
+        assert usable(state, script.answered_at[-1] + MISSING_GRACE_S - 0.1)
+        assert not usable(state, script.answered_at[-1] + MISSING_GRACE_S + 0.5)
 
     async def scenario():
-        await asyncio.gather(case(GONE), case(GONE_WHOLE))
+        await asyncio.gather(case(GONE), case(GONE_SNAPSHOT))
 
     asyncio.run(scenario())
 
--- a/tests/test_limits_named.py
+++ b/tests/test_limits_named.py
@@ -10,7 +10,7 @@
 
 
 @st.composite
-def news(draw: st.DrawFn) -> LimitReport:
+def limit_reports(draw: st.DrawFn) -> LimitReport:
     sent_at = draw(TIMES)
     per_s = draw(st.sampled_from((0.0, 0.3, 2.8, 7.0, UNLIMITED)))
     return LimitReport(per_s, sent_at, sent_at + draw(TIMES))
@@ -48,14 +48,14 @@
     assert merge_reports(first, second).per_s == merge_reports(second, first).per_s == 1.4
 
 
-@given(news(), news())
+@given(limit_reports(), limit_reports())
 def test_the_order_in_which_two_boxes_hear_of_the_same_words_does_not_matter(first, second):
     a, b = merge_reports(first, second), merge_reports(second, first)
     if first.sent_at != second.received_at and second.sent_at != first.received_at:
         assert a == b
 
 
-@given(news(), news())
+@given(limit_reports(), limit_reports())
 def test_a_limit_ends_only_by_an_answer_that_is_surely_newer(known, told):
     held = merge_reports(known, told)
     if known.per_s < UNLIMITED and held.per_s == UNLIMITED:
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -38,39 +38,43 @@
 def state_with(*endpoints: Endpoint) -> BoxState:
     state = box_state()
     state.catalog = CATALOG
-    listed(state, *endpoints)
+    apply_list(state, *endpoints)
     return state
 
 
-def listed(state: BoxState, *endpoints: Endpoint, revision: int = 1) -> None:
+def apply_list(state: BoxState, *endpoints: Endpoint, revision: int = 1) -> None:
     apply_endpoints(state, EndpointChanges(revision, True, endpoints), monotonic())
 
 
-def operators(state: BoxState, revision: int, whole: bool = False, **changes: tuple[str, ...]) -> None:
+def apply_operator_changes(
+    state: BoxState, revision: int, whole: bool = False, **changes: tuple[str, ...]
+) -> None:
     apply_operators(state, OperatorChanges(revision, whole, **changes), monotonic())
 
 
-def reply_to(part: LocalRouter, ticket: str) -> PlaceReply:
+def place_prompt(local_router: LocalRouter, ticket: str) -> PlaceReply:
     request = PlaceRequest(ticket, "b-2", "llm", "m", (PromptPart("aa", 500),), 500, 20, "", ())
-    return part.place(request)
+    return local_router.place(request)
 
 
-def place(part: LocalRouter, ticket: str) -> str:
-    return reply_to(part, ticket).endpoint
+def placed_endpoint(local_router: LocalRouter, ticket: str) -> str:
+    return place_prompt(local_router, ticket).endpoint
 
 
 def test_all_that_was_believed_of_an_endpoint_goes_with_its_life():
     state = state_with(ENGINE)
-    held = state.endpoint_state(ENGINE)
-    held.in_flight, held.version, held.failure_rate = 7, 4, 0.9
-    held.on_report(EngineReport({"m": 4}, running=5, used_tokens=9_000, total_tokens=10_000), monotonic())
+    endpoint_state = state.endpoint_state(ENGINE)
+    endpoint_state.in_flight, endpoint_state.version, endpoint_state.failure_rate = 7, 4, 0.9
+    endpoint_state.on_report(
+        EngineReport({"m": 4}, running=5, used_tokens=9_000, total_tokens=10_000), monotonic()
+    )
     state.holdings.expect(ENGINE.address, "/m/4", "aa", 500)
-    listed(state, replace(ENGINE, born=2_000, sequence=1))
-    anew = state.endpoint_state(ENGINE)
+    apply_list(state, replace(ENGINE, born=2_000, sequence=1))
+    new_state = state.endpoint_state(ENGINE)
     assert (
-        anew is not held
-        and anew.report is None
-        and (anew.in_flight, anew.version, anew.failure_rate) == (0, 0, 0.0)
+        new_state is not endpoint_state
+        and new_state.report is None
+        and (new_state.in_flight, new_state.version, new_state.failure_rate) == (0, 0, 0.0)
     )
     assert not state.holdings.holders("/m/4", "aa")
     assert state.version_of(state.fleet.by_id["e"], "m") == 1
@@ -78,16 +82,16 @@
 
 def test_a_report_may_tell_of_a_new_life_before_its_entry_does_and_it_is_cold():
     state = state_with(ENGINE)
-    held = state.endpoint_state(ENGINE)
+    endpoint_state = state.endpoint_state(ENGINE)
     now = monotonic()
     state.apply_report(ENGINE, EngineReport(born=2_000), now)
-    assert state.endpoint_state(ENGINE) is not held
+    assert state.endpoint_state(ENGINE) is not endpoint_state
     assert START_S - 0.1 < cold_for_s(state, ENGINE, now) <= START_S
     state.apply_report(ENGINE, EngineReport({"m": 9}, born=1_000), now)
     assert state.version_of(ENGINE, "m") == 1, "a report of the last life"
-    listed(state, replace(ENGINE, sequence=6))
+    apply_list(state, replace(ENGINE, sequence=6))
     assert cold_for_s(state, ENGINE, monotonic()) > 0, "an entry of the last life"
-    listed(state, replace(ENGINE, born=2_000, sequence=3))
+    apply_list(state, replace(ENGINE, born=2_000, sequence=3))
     assert cold_for_s(state, ENGINE, monotonic()) == 0
 
 
@@ -115,24 +119,24 @@
 def test_what_ends_of_an_old_life_is_not_counted_off_the_new_one():
     state = state_with(ENGINE)
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
-    part = LocalRouter(state, CHANCE)
-    assert place(part, "old") == "e"
-    listed(state, replace(ENGINE, born=2_000, sequence=1))
-    assert place(part, "new") == "e"
-    part.finished(EndedAttempt("old", Outcome.FAILED))
-    anew = state.endpoint_state(ENGINE)
-    assert anew.in_flight == 1 and anew.failure_rate == 0.0
+    local_router = LocalRouter(state, CHANCE)
+    assert placed_endpoint(local_router, "old") == "e"
+    apply_list(state, replace(ENGINE, born=2_000, sequence=1))
+    assert placed_endpoint(local_router, "new") == "e"
+    local_router.finished(EndedAttempt("old", Outcome.FAILED))
+    new_state = state.endpoint_state(ENGINE)
+    assert new_state.in_flight == 1 and new_state.failure_rate == 0.0
 
 
 def test_an_order_that_the_last_life_took_does_not_hold_up_the_next_one():
     state = state_with(ENGINE)
-    giver = RolloutController(state, None, None)
-    giver.issued = {("e", 2): IssuedOrder(monotonic() - 0.1), ("f", 2): IssuedOrder(monotonic())}
-    giver._drop_orders_of_old_incarnations()
-    assert len(giver.issued) == 2
-    listed(state, replace(ENGINE, born=2_000, sequence=1))
-    giver._drop_orders_of_old_incarnations()
-    assert list(giver.issued) == [("f", 2)]
+    controller = RolloutController(state, None, None)
+    controller.issued = {("e", 2): IssuedOrder(monotonic() - 0.1), ("f", 2): IssuedOrder(monotonic())}
+    controller._drop_orders_of_old_incarnations()
+    assert len(controller.issued) == 2
+    apply_list(state, replace(ENGINE, born=2_000, sequence=1))
+    controller._drop_orders_of_old_incarnations()
+    assert list(controller.issued) == [("f", 2)]
 
 
 def test_an_endpoint_that_was_not_reached_counts_as_cold_until_it_says_that_it_is_the_same():
@@ -147,19 +151,22 @@
 def test_a_router_places_on_a_cold_engine_what_it_bears_and_then_nothing():
     state = state_with(replace(ENGINE, cold=True, cold_s=START_S))
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
-    part = LocalRouter(state, CHANCE)
-    replies = [reply_to(part, f"t{number}") for number in range(40)]
+    local_router = LocalRouter(state, CHANCE)
+    replies = [place_prompt(local_router, f"t{number}") for number in range(40)]
     placed = [reply.endpoint for reply in replies]
     assert 0 < placed.count("e") <= LIMIT.per_s
     assert placed[-1] == ""
     now = monotonic()
     assert 0 < wait_s(state, ENGINE, now, CHANCE) < 1 / LIMIT.per_s * 2
-    told = [reply.come_back_s for reply in replies if not reply.endpoint]
-    assert 0 < told[0] < 1 / LIMIT.per_s * 2 and max(told) <= MAX_COLD_RETRY_S
-    assert told == sorted(told) and len(set(told)) > 10, "one after the other, not all at once"
-    listed(state, replace(ENGINE, sequence=6))
+    retry_times = [reply.come_back_s for reply in replies if not reply.endpoint]
+    assert 0 < retry_times[0] < 1 / LIMIT.per_s * 2 and max(retry_times) <= MAX_COLD_RETRY_S
+    assert retry_times == sorted(retry_times) and len(set(retry_times)) > 10, (
+        "one after the other, not all at once"
+    )
+    apply_list(state, replace(ENGINE, sequence=6))
     assert (
-        place(part, "warm") == "e" and retry_after_s(state, SERVICE.id, (), {}, monotonic(), CHANCE) is None
+        placed_endpoint(local_router, "warm") == "e"
+        and retry_after_s(state, SERVICE.id, (), {}, monotonic(), CHANCE) is None
     )
 
 
@@ -171,40 +178,40 @@
 
 def test_an_older_view_does_not_take_back_an_evacuation():
     state = state_with(ENGINE)
-    operators(state, 10, evacuated=("hall-a",))
-    operators(state, 8, whole=True)
+    apply_operator_changes(state, 10, evacuated=("hall-a",))
+    apply_operator_changes(state, 8, whole=True)
     assert state.evacuated == {"hall-a"}
-    operators(state, 12)
+    apply_operator_changes(state, 12)
     assert state.evacuated == {"hall-a"}
-    operators(state, 13, returned=("hall-a",))
+    apply_operator_changes(state, 13, returned=("hall-a",))
     assert not state.evacuated
-    operators(state, 14, whole=True, evacuated=("hall-b",))
+    apply_operator_changes(state, 14, whole=True, evacuated=("hall-b",))
     assert state.evacuated == {"hall-b"}
-    operators(state, 15, whole=True)
+    apply_operator_changes(state, 15, whole=True)
     assert not state.evacuated
 
 
 def test_a_hall_that_returns_counts_as_cold_and_one_that_is_evacuated_again_gets_nothing():
     state = state_with(ENGINE)
-    operators(state, 10, evacuated=("hall-a",))
-    operators(state, 11, returned=("hall-a",))
+    apply_operator_changes(state, 10, evacuated=("hall-a",))
+    apply_operator_changes(state, 11, returned=("hall-a",))
     assert POST_EVACUATION_COLD_S - 0.1 < cold_for_s(state, ENGINE, monotonic()) <= POST_EVACUATION_COLD_S
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
-    part = LocalRouter(state, CHANCE)
-    assert place(part, "back") == "e"
-    operators(state, 12, evacuated=("hall-a",))
-    assert place(part, "again") == ""
+    local_router = LocalRouter(state, CHANCE)
+    assert placed_endpoint(local_router, "back") == "e"
+    apply_operator_changes(state, 12, evacuated=("hall-a",))
+    assert placed_endpoint(local_router, "again") == ""
 
 
 def test_a_router_passes_on_which_halls_are_evacuated_and_how_long_engines_are_cold():
     state = state_with(replace(ENGINE, cold=True, cold_s=START_S))
-    operators(state, 10, evacuated=("hall-a",))
-    part = LocalRouter(state, CHANCE)
-    changes = part._operators_reply(OperatorsRequest(9, 0.0), monotonic()).changes
+    apply_operator_changes(state, 10, evacuated=("hall-a",))
+    local_router = LocalRouter(state, CHANCE)
+    changes = local_router._operators_reply(OperatorsRequest(9, 0.0), monotonic()).changes
     assert changes.whole and changes.evacuated == ("hall-a",)
     state.endpoint_state(ENGINE).cold_until = monotonic() + 1.0
-    passed = part._endpoints_reply(EndpointsRequest(0, 0.0)).changes.present[0]
-    assert passed.cold and 0.9 < passed.cold_s <= 1.0
+    forwarded = local_router._endpoints_reply(EndpointsRequest(0, 0.0)).changes.present[0]
+    assert forwarded.cold and 0.9 < forwarded.cold_s <= 1.0
 
 
 def test_routers_of_an_evacuated_hall_place_nothing_and_the_others_take_all_engines():
@@ -214,7 +221,7 @@
     state = state_with(*engines)
     state.routers = tuple(Member(f"b-{hall}", "x:1", 1.0, hall) for hall in ("a", "b", "c"))
     assert len(state.placing_routers()) == 3
-    operators(state, 10, evacuated=("a",))
+    apply_operator_changes(state, 10, evacuated=("a",))
     placing = state.placing_routers()
     assert [router.data_hall for router in placing] == ["b", "c"]
     owned = {}
@@ -223,5 +230,5 @@
         owned[router.data_hall] = LocalRouter(state, CHANCE)._engines()
     assert owned["a"] == {f"e-a-{n}" for n in range(8)}, "watched on, for when the hall returns"
     assert owned["b"] | owned["c"] == {item.id for item in engines if item.data_hall != "a"}
-    operators(state, 11, evacuated=("b", "c"))
+    apply_operator_changes(state, 11, evacuated=("b", "c"))
     assert len(state.placing_routers()) == 1, "someone is to be asked, also where nothing may be sent"
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -22,19 +22,19 @@
 from tests.site import eventually
 from tests.states import box_state
 
-HELD_S = 0.3
+LONG_POLL_S = 0.3
 AGE_S = 0.1
 
 
-class Router:
+class StubRouter:
     """A router that holds each question for a while; it is also the channel to it."""
 
-    def __init__(self, age_s: float = AGE_S, held_s: float = HELD_S) -> None:
+    def __init__(self, age_s: float = AGE_S, held_s: float = LONG_POLL_S) -> None:
         self.age_s = age_s
         self.held_s = held_s
         self.asked: list[ViewsRequest] = []
-        self.at_once_if_old = False
-        self.questions = 0
+        self.answers_at_once = False
+        self.request_count = 0
 
     def client_for(self, _):
         return self
@@ -44,16 +44,16 @@
 
     async def views(self, request: ViewsRequest, limit_s: float) -> ViewsReply:
         self.asked.append(request)
-        self.questions += 1
-        if not self.at_once_if_old:
+        self.request_count += 1
+        if not self.answers_at_once:
             await asyncio.sleep(self.held_s)
         operators = OperatorsReply(OperatorChanges(7, False), AGE_S, self.held_s)
         return ViewsReply(operators, EndpointsReply(EndpointChanges(8, False), self.age_s))
 
     async def operators(self, request: OperatorsRequest, limit_s: float) -> OperatorsReply:
-        self.questions += 1
-        await asyncio.sleep(HELD_S)
-        return OperatorsReply(OperatorChanges(7, False), AGE_S, HELD_S)
+        self.request_count += 1
+        await asyncio.sleep(LONG_POLL_S)
+        return OperatorsReply(OperatorChanges(7, False), AGE_S, LONG_POLL_S)
 
 
 class TableService:
@@ -66,7 +66,7 @@
         return Ok(EndpointChanges(99, False))
 
 
-def shared(router: Router) -> SharedFeeds:
+def shared_feeds(router: StubRouter) -> SharedFeeds:
     state = box_state("b-9")
     state.routers = (Member("r-1", "one"), Member("r-2", "two"))
     state.operators_revision, state.list_revision = 5, 6
@@ -78,8 +78,8 @@
 
 def test_one_question_follows_both_views_and_each_new_one_asks_again():
     async def scenario():
-        router = Router()
-        feeds = shared(router)
+        router = StubRouter()
+        feeds = shared_feeds(router)
         for round_number in (1, 2):
             operators, endpoints = await asyncio.gather(
                 feeds.follow_operators(5, 0.7), feeds.follow_endpoints(6, 0.7)
@@ -93,8 +93,8 @@
 
 def test_who_waits_for_a_question_under_way_does_not_take_its_answer_for_younger():
     async def scenario():
-        router = Router(held_s=1.5)
-        feeds = shared(router)
+        router = StubRouter(held_s=1.5)
+        feeds = shared_feeds(router)
         first = asyncio.create_task(feeds.follow_operators(5, 0.7))
         await asyncio.sleep(0)
         began = monotonic()
@@ -111,7 +111,7 @@
 
 def test_a_view_that_is_too_old_to_use_is_asked_for_elsewhere_while_the_other_one_is_used():
     async def scenario():
-        feeds = shared(Router(age_s=10.0))
+        feeds = shared_feeds(StubRouter(age_s=10.0))
         operators, endpoints = await asyncio.gather(
             feeds.follow_operators(5, 0.7), feeds.follow_endpoints(6, 0.7)
         )
@@ -125,15 +125,15 @@
     the table service meanwhile. The configuration goes on being followed by held questions."""
 
     async def scenario():
-        router = Router(age_s=10.0)
-        router.at_once_if_old = True
-        feeds = shared(router)
+        router = StubRouter(age_s=10.0)
+        router.answers_at_once = True
+        feeds = shared_feeds(router)
         feeds.feeds.wait_s = 5.0
         following = asyncio.create_task(feeds.follow_endpoints(6, 0.7))
         end = monotonic() + 1.0
         while monotonic() < end:
             assert (await feeds.follow_operators(5, 0.7)).ok_value.revision == 7
-        assert router.questions <= 6
+        assert router.request_count <= 6
         following.cancel()
 
     asyncio.run(scenario())
@@ -145,28 +145,28 @@
 
     async def scenario():
         state = box_state()
-        shown, rest = Endpoint("e-1", "s", "10.0.0.1:1"), Endpoint("e-2", "s", "10.0.0.2:1")
-        router = PassedOn(state, [(shown, rest), (rest,)])
+        vanishing, other = Endpoint("e-1", "s", "10.0.0.1:1"), Endpoint("e-2", "s", "10.0.0.2:1")
+        router = RouterListFeed(state, [(vanishing, other), (other,)])
         following = asyncio.create_task(follow_endpoints(state, router))
         await eventually(lambda: state.fleet.missing_since_by_id, 2.0)
         asked = router.asked
         await asyncio.sleep(0.6)
         assert router.asked - asked <= 4
         # It is back: the held question tells.
-        router.lists.append((shown, rest))
+        router.lists.append((vanishing, other))
         await eventually(lambda: not state.fleet.missing_since_by_id and len(state.fleet.live()) == 2, 2.0)
         following.cancel()
 
     asyncio.run(scenario())
 
 
-class PassedOn:
+class RouterListFeed:
     """A list that a router passes on: each of `lists` is told once, and questions are held besides."""
 
     def __init__(self, state: BoxState, lists: list[tuple[Endpoint, ...]]) -> None:
         self.state = state
         self.lists = lists
-        self.told = 0
+        self.lists_sent = 0
         self.asked = 0
 
     async def read_endpoints(self):
@@ -177,13 +177,13 @@
     async def follow_endpoints(self, after, wait_s):
         self.asked += 1
         end = monotonic() + 0.2
-        while self.told == len(self.lists) and monotonic() < end:
+        while self.lists_sent == len(self.lists) and monotonic() < end:
             await asyncio.sleep(0.01)
         return self.answer()
 
     def answer(self):
         self.state.list_from_router = True
-        if self.told == len(self.lists):
-            return Ok(EndpointChanges(self.told, False))
-        self.told += 1
-        return Ok(EndpointChanges(self.told, True, self.lists[self.told - 1]))
+        if self.lists_sent == len(self.lists):
+            return Ok(EndpointChanges(self.lists_sent, False))
+        self.lists_sent += 1
+        return Ok(EndpointChanges(self.lists_sent, True, self.lists[self.lists_sent - 1]))
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -17,59 +17,63 @@
 from tests.many_boxes import placed_prompt, routed, two_boxes
 from tests.site import Answer, Site, eventually, site
 from tests.standins.dialect import Endpoint
-from tests.test_limits import clock, known_boxes, press, refused_well
+from tests.test_limits import loop_time, refused_with_retry_after, send_load, single_box
 
 DRAIN_S = 2.0
 """Seconds after an answer says that an endpoint leaves from which it gets nothing from who passed it on."""
 
-KNOWN_AFTER_S, MOST_AT_REST = 0.5, 2
+BACKOFF_REACTION_S, MAX_DURING_BACKOFF = 0.5, 2
 """From so many seconds after an endpoint asked for rest until that is over it gets at most so many requests
 from the box that it asked."""
 
 
-def box_of(call_id: str) -> str:
+def sending_box(call_id: str) -> str:
     """Return the box that a call of these tests was sent to."""
     return call_id.partition(" ")[0]
 
 
-def after_leaving(endpoint: Endpoint) -> list[str]:
+def requests_after_leaving(endpoint: Endpoint) -> list[str]:
     """Return the requests that came too late after an answer had told their box that the endpoint leaves."""
-    told: dict[str, float] = {}
+    told_at_by_box: dict[str, float] = {}
     for at, call_id in endpoint.told_leaving:
-        told.setdefault(box_of(call_id), at)
+        told_at_by_box.setdefault(sending_box(call_id), at)
     never = float("inf")
-    return [call_id for at, call_id in endpoint.arrived if at > told.get(box_of(call_id), never) + DRAIN_S]
+    return [
+        call_id
+        for at, call_id in endpoint.arrived
+        if at > told_at_by_box.get(sending_box(call_id), never) + DRAIN_S
+    ]
 
 
-def most_at_rest(endpoint: Endpoint, rest_s: float) -> int:
+def max_during_backoff(endpoint: Endpoint, rest_s: float) -> int:
     """Return the most requests that a box sent while an endpoint had asked it for rest."""
     counts = [
         sum(
-            box_of(sent) == box_of(told) and asked_at + KNOWN_AFTER_S < at < asked_at + rest_s
+            sending_box(sent) == sending_box(asked) and asked_at + BACKOFF_REACTION_S < at < asked_at + rest_s
             for at, sent in endpoint.arrived
         )
-        for asked_at, told, _ in endpoint.rested
+        for asked_at, asked, _ in endpoint.rested
     ]
     return max(counts, default=0)
 
 
-def turn_away(endpoint: Endpoint, rest: str) -> None:
+def request_backoff(endpoint: Endpoint, rest: str) -> None:
     endpoint.refuse, endpoint.rest = 100_000, rest
 
 
 def test_a_plain_endpoint_that_said_that_it_leaves_gets_nothing_though_its_entry_says_ready():
     async def scenario():
-        async with known_boxes(plain=2) as here:
+        async with single_box(plain=2) as here:
             leaving, other = here.endpoints
             leaving.leaving, other.hold_s = "1", 0.3
-            answers = await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 4.0)
-            assert leaving.told_leaving and not after_leaving(leaving)
+            answers = await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 4.0)
+            assert leaving.told_leaving and not requests_after_leaving(leaving)
             assert [answer.status for answer in answers] == [200] * len(answers)
             assert len(other.taken) > len(leaving.taken)
             here.table.put("servers", leaving.id, leaving.entry() | {"sequence": 2})
             leaving.leaving = None
-            await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 1.0)
-            assert not after_leaving(leaving)
+            await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 1.0)
+            assert not requests_after_leaving(leaving)
 
     asyncio.run(scenario())
 
@@ -80,8 +84,10 @@
             leaving, _ = boxes[0].engines()
             boxes[0].table.down = True
             leaving.leaving = "1"
-            answers = await press(lambda n: boxes[n % 2].prompt("/again/x", call_id=f"{n % 2} {n}"), 20, 5.0)
-            assert leaving.told_leaving and not after_leaving(leaving)
+            answers = await send_load(
+                lambda n: boxes[n % 2].prompt("/again/x", call_id=f"{n % 2} {n}"), 20, 5.0
+            )
+            assert leaving.told_leaving and not requests_after_leaving(leaving)
             assert [answer.status for answer in answers][:40] == [200] * 40
 
     asyncio.run(scenario())
@@ -89,41 +95,41 @@
 
 def test_requests_that_are_sent_again_and_streams_that_go_on_do_not_go_where_one_leaves_or_rests():
     async def scenario():
-        async with known_boxes(plain=3, engines=3, budget_slack=10_000) as here:
+        async with single_box(plain=3, engines=3, budget_slack=10_000) as here:
             for endpoints in (here.endpoints[:3], here.engines()):
                 endpoints[0].leaving = "1"
-                turn_away(endpoints[1], "3")
+                request_backoff(endpoints[1], "3")
                 endpoints[2].errors = 100_000
-            began = clock()
+            started_at = loop_time()
 
-            async def both(n: int) -> Answer:
+            async def send_either(n: int) -> Answer:
                 if n % 2:
                     return await here.prompt("/again/x", call_id=f"box {n}", headers={"Last-Event-Id": "2"})
                 return await here.call("/plain/x", call_id=f"box {n}")
 
-            await press(both, 30, 5.0)
-            assert clock() - began >= 5.0
-            for leaving, resting, _ in (here.endpoints[:3], here.engines()):
-                assert leaving.told_leaving and not after_leaving(leaving)
-                assert resting.rested and most_at_rest(resting, 3.0) <= MOST_AT_REST
+            await send_load(send_either, 30, 5.0)
+            assert loop_time() - started_at >= 5.0
+            for leaving, overloaded, _ in (here.endpoints[:3], here.engines()):
+                assert leaving.told_leaving and not requests_after_leaving(leaving)
+                assert overloaded.rested and max_during_backoff(overloaded, 3.0) <= MAX_DURING_BACKOFF
 
     asyncio.run(scenario())
 
 
 def test_a_plain_endpoint_that_asked_a_box_for_rest_gets_none_from_it_until_that_is_over():
     async def scenario():
-        async with known_boxes(plain=2, budget_slack=10_000) as here:
-            resting, other = here.endpoints
-            turn_away(resting, "2.5")
+        async with single_box(plain=2, budget_slack=10_000) as here:
+            overloaded, other = here.endpoints
+            request_backoff(overloaded, "2.5")
             other.hold_s = 0.4
-            answers = await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 6.0)
-            assert len(resting.rested) >= 2 and most_at_rest(resting, 2.5) <= MOST_AT_REST
+            answers = await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 6.0)
+            assert len(overloaded.rested) >= 2 and max_during_backoff(overloaded, 2.5) <= MAX_DURING_BACKOFF
             assert [answer.status for answer in answers] == [200] * len(answers)
-            resting.refuse = 0
+            overloaded.refuse = 0
             await asyncio.sleep(2.5)
-            before = len(resting.taken)
-            await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 3.0)
-            assert len(resting.taken) - before >= 20
+            before = len(overloaded.taken)
+            await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 3.0)
+            assert len(overloaded.taken) - before >= 20
 
     asyncio.run(scenario())
 
@@ -131,11 +137,13 @@
 def test_an_engine_that_asked_one_box_for_rest_gets_none_that_a_router_places_for_it():
     async def scenario():
         async with two_boxes(plain=0, engines=2, budget_slack=10_000) as boxes:
-            resting, _ = boxes[0].engines()
-            turn_away(resting, "3")
-            answers = await press(lambda n: boxes[n % 2].prompt("/again/x", call_id=f"{n % 2} {n}"), 20, 5.0)
-            assert resting.rested and most_at_rest(resting, 3.0) <= MOST_AT_REST
-            turned_away = {call_id for _, call_id, _ in resting.rested}
+            overloaded, _ = boxes[0].engines()
+            request_backoff(overloaded, "3")
+            answers = await send_load(
+                lambda n: boxes[n % 2].prompt("/again/x", call_id=f"{n % 2} {n}"), 20, 5.0
+            )
+            assert overloaded.rested and max_during_backoff(overloaded, 3.0) <= MAX_DURING_BACKOFF
+            turned_away = {call_id for _, call_id, _ in overloaded.rested}
             failed = {f"{n % 2} {n}" for n, answer in enumerate(answers) if answer.status != 200}
             assert failed <= turned_away, "only those may fail that no budget lets be sent again"
 
@@ -144,55 +152,55 @@
 
 def test_where_all_endpoints_rest_callers_are_refused_at_once_and_return_one_after_the_other():
     async def scenario():
-        async with known_boxes(plain=2, budget_slack=10_000) as here:
+        async with single_box(plain=2, budget_slack=10_000) as here:
             for endpoint in here.endpoints:
-                turn_away(endpoint, "2.5")
+                request_backoff(endpoint, "2.5")
                 endpoint.hold_s = 0.05
-            began = clock()
+            started_at = loop_time()
             first = await here.call("/plain/x", call_id="box first")
             assert first.status == 503 and 2.0 < float(first.headers["Retry-After"]) <= 2.51
-            answers = await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 30, 1.5)
-            assert refused_well(answers)
-            told = [float(answer.headers["Retry-After"]) for answer in answers]
-            assert min(told) >= 2.4 - (clock() - began) and len(set(told)) >= 20
+            answers = await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 30, 1.5)
+            assert refused_with_retry_after(answers)
+            retry_times = [float(answer.headers["Retry-After"]) for answer in answers]
+            assert min(retry_times) >= 2.4 - (loop_time() - started_at) and len(set(retry_times)) >= 20
             for endpoint in here.endpoints:
-                assert most_at_rest(endpoint, 2.5) <= MOST_AT_REST
+                assert max_during_backoff(endpoint, 2.5) <= MAX_DURING_BACKOFF
             # All callers come back at the very end of the rest, before one is answered.
-            await asyncio.sleep(began + 2.6 - clock())
+            await asyncio.sleep(started_at + 2.6 - loop_time())
             for endpoint in here.endpoints:
                 endpoint.refuse_s = 0.2
             before = [len(endpoint.arrived) for endpoint in here.endpoints]
-            herd = (here.call("/plain/x", call_id=f"box herd-{n}") for n in range(40))
-            await asyncio.gather(*herd)
+            retries = (here.call("/plain/x", call_id=f"box herd-{n}") for n in range(40))
+            await asyncio.gather(*retries)
             now = [len(endpoint.arrived) for endpoint in here.endpoints]
-            assert max(after - prior for after, prior in zip(now, before, strict=True)) <= MOST_AT_REST
+            assert max(after - prior for after, prior in zip(now, before, strict=True)) <= MAX_DURING_BACKOFF
 
     asyncio.run(scenario())
 
 
 def test_a_caller_refused_where_all_endpoints_leave_is_refused_at_once():
     async def scenario():
-        async with known_boxes(plain=2) as here:
+        async with single_box(plain=2) as here:
             for endpoint in here.endpoints:
                 endpoint.leaving = "1"
             for n in range(4):
                 await here.call("/plain/x", call_id=f"box {n}")
-            answers = await press(lambda n: here.call("/plain/x", call_id=f"box late {n}"), 20, 1.0)
-            assert {answer.status for answer in answers} == {503} and refused_well(answers)
+            answers = await send_load(lambda n: here.call("/plain/x", call_id=f"box late {n}"), 20, 1.0)
+            assert {answer.status for answer in answers} == {503} and refused_with_retry_after(answers)
 
     asyncio.run(scenario())
 
 
 def test_a_repeat_that_a_rest_costs_spends_the_budget():
     async def scenario():
-        async with known_boxes(plain=2, budget_slack=10_000) as here:
-            resting, other = here.endpoints
-            turn_away(resting, "0.05")
+        async with single_box(plain=2, budget_slack=10_000) as here:
+            overloaded, other = here.endpoints
+            request_backoff(overloaded, "0.05")
             other.hold_s = 0.4
-            await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 3.0)
-            again = {item.id for item in other.taken} & {call_id for _, call_id, _ in resting.rested}
-            assert len(again) >= 2
-            assert f'stairquay_repeats_total{{service="plain"}} {len(again)}.0' in await here.metrics()
+            await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 3.0)
+            retried = {item.id for item in other.taken} & {call_id for _, call_id, _ in overloaded.rested}
+            assert len(retried) >= 2
+            assert f'stairquay_repeats_total{{service="plain"}} {len(retried)}.0' in await here.metrics()
 
     asyncio.run(scenario())
 
@@ -200,23 +208,23 @@
 def test_a_box_tells_a_router_that_does_not_know_which_endpoint_leaves_and_which_wants_rest():
     async def scenario():
         async with routed(plain=0, engines=2) as (here, router):
-            leaving, resting = here.engines()
+            leaving, overloaded = here.engines()
             leaving.leaving = "1"
             router.reply = PlaceReply(endpoint=leaving.id, version=1, scope="/m/1", first_token_s=0.02)
             await placed_prompt(here, router, "first")
-            turn_away(resting, "3")
-            router.reply = PlaceReply(endpoint=resting.id, version=1, scope="/m/1", first_token_s=0.02)
+            request_backoff(overloaded, "3")
+            router.reply = PlaceReply(endpoint=overloaded.id, version=1, scope="/m/1", first_token_s=0.02)
             await placed_prompt(here, router, "second")
             router.asked.clear()
             router.reply = PlaceReply(endpoint=leaving.id, version=1, scope="/m/1", first_token_s=0.02)
-            before = len(leaving.arrived), len(resting.arrived)
-            answers = await press(lambda n: here.prompt("/again/x", call_id=f"box {n}"), 10, 1.5)
-            assert (len(leaving.arrived), len(resting.arrived)) == before
-            told = [item for asked in router.asked for item in asked.said]
-            assert any(item.endpoint == leaving.id and item.leaving for item in told)
-            assert any(item.endpoint == resting.id and 0 < item.rest_s <= 3 for item in told)
+            before = len(leaving.arrived), len(overloaded.arrived)
+            answers = await send_load(lambda n: here.prompt("/again/x", call_id=f"box {n}"), 10, 1.5)
+            assert (len(leaving.arrived), len(overloaded.arrived)) == before
+            feedback = [item for asked in router.asked for item in asked.said]
+            assert any(item.endpoint == leaving.id and item.leaving for item in feedback)
+            assert any(item.endpoint == overloaded.id and 0 < item.rest_s <= 3 for item in feedback)
             assert any(ended.outcome == Outcome.NOT_SENT for ended in router.ended)
-            assert refused_well(answers)
+            assert refused_with_retry_after(answers)
 
     asyncio.run(scenario())
 
@@ -226,7 +234,7 @@
         async with two_boxes(plain=2) as (first, second):
             leaving, other = first.endpoints
             leaving.leaving, other.hold_s = "1", 0.3
-            await eventually(lambda: told_by(first, leaving))
+            await eventually(lambda: is_told_leaving(first, leaving))
             known = f'stairquay_endpoint_leaving{{endpoint="{leaving.id}"}} 1.0'
 
             async def second_knows() -> bool:
@@ -234,10 +242,10 @@
 
             await eventually(second_knows, 3.0)
             before = len(leaving.arrived)
-            await press(lambda n: second.call("/plain/x", call_id=f"second {n}"), 20, 1.0)
+            await send_load(lambda n: second.call("/plain/x", call_id=f"second {n}"), 20, 1.0)
             assert len(leaving.arrived) == before
 
-    async def told_by(here: Site, endpoint: Endpoint) -> bool:
+    async def is_told_leaving(here: Site, endpoint: Endpoint) -> bool:
         await here.call("/plain/x", call_id="first")
         return bool(endpoint.told_leaving)
 
@@ -246,7 +254,7 @@
 
 def test_an_answer_whose_caller_left_is_heard_as_well():
     async def scenario():
-        async with known_boxes(plain=0, engines=2) as here:
+        async with single_box(plain=0, engines=2) as here:
             for engine in here.engines():
                 engine.event_s, engine.leaving = 0.3, "1"
             for n in range(14):
@@ -254,7 +262,7 @@
                 await asyncio.sleep(0.4)
                 call.cancel()
             for engine in here.engines():
-                assert engine.told_leaving and not after_leaving(engine)
+                assert engine.told_leaving and not requests_after_leaving(engine)
                 assert here.logged("leaving", endpoint=engine.id)
             assert not here.logged("ended", outcome="answered")
 
@@ -279,8 +287,8 @@
             metrics = await here.metrics()
             assert f'stairquay_endpoint_leaving{{endpoint="{engine.id}"}} 1.0' in metrics
             assert f'stairquay_endpoint_rest_seconds_left{{endpoint="{asked[0]["endpoint"]}"}} ' in metrics
-            told = "\n".join(explain_request(Logs(here.log_lines), "turned-away"))
-            assert "rest_s=2.5" in told and "outcome=asked for_s=2.5" in told
+            explanation = "\n".join(explain_request(Logs(here.log_lines), "turned-away"))
+            assert "rest_s=2.5" in explanation and "outcome=asked for_s=2.5" in explanation
 
     asyncio.run(scenario())
 
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -13,7 +13,7 @@
 from stairquay.core.call import Call
 from stairquay.core.catalog import Route
 from stairquay.core.errors import ErrorKind, ExecutionStatus
-from stairquay.core.fleet import Endpoint as Listed
+from stairquay.core.fleet import Endpoint as FleetEndpoint
 from stairquay.serving.crashes import CrashDetector
 from stairquay.serving.dispatch import Dispatcher
 from stairquay.serving.endpoint_choice import Choice, ChoiceRequest, choose_endpoint
@@ -27,28 +27,30 @@
 from tests.loads.test_limits_of_endpoints import CATALOG
 from tests.states import box_state
 
-PLAIN = Listed("p", "plain", "10.0.1.2:1", "hall-a", 8)
+PLAIN = FleetEndpoint("p", "plain", "10.0.1.2:1", "hall-a", 8)
 
 
-def hears(state: BoxState, said: Feedback, ago_s: float = 0.0) -> None:
+def receive_feedback(state: BoxState, feedback: Feedback, ago_s: float = 0.0) -> None:
     """Take in an answer that came so long ago, to a request sent right before."""
     at = monotonic() - ago_s
-    apply_feedback(state, PLAIN, state.endpoint_state(PLAIN), said, at, at)
+    apply_feedback(state, PLAIN, state.endpoint_state(PLAIN), feedback, at, at)
 
 
-def knowing() -> BoxState:
+def state_with_endpoint() -> BoxState:
     state = box_state("b-0")
     state.catalog = CATALOG
     apply_endpoints(state, EndpointChanges(1, True, (PLAIN,)), monotonic())
     return state
 
 
-def chosen(state: BoxState) -> bool:
-    wanted = ChoiceRequest(CATALOG.services_by_id["plain"], backoffs_s=backoffs_by_id(state, monotonic()))
-    return choose_endpoint(state, CATALOG, wanted, Random(1)) is not None
+def is_chosen(state: BoxState) -> bool:
+    choice_request = ChoiceRequest(
+        CATALOG.services_by_id["plain"], backoffs_s=backoffs_by_id(state, monotonic())
+    )
+    return choose_endpoint(state, CATALOG, choice_request, Random(1)) is not None
 
 
-def lapse_and_return(state: BoxState) -> None:
+def remove_and_restore_entry(state: BoxState) -> None:
     """Have the endpoint's entry vanish for longer than it is a last resort, and stand again as ready."""
     apply_endpoints(state, EndpointChanges(2, True, (PLAIN,)), monotonic() - 100)
     apply_endpoints(state, EndpointChanges(3, True, ()), monotonic())
@@ -57,70 +59,70 @@
 
 
 def test_what_an_endpoint_said_holds_where_its_entry_lapses_and_returns():
-    for said in (Feedback(leaving=True), Feedback(backoff_s=30.0)):
-        state = knowing()
-        hears(state, said)
-        lapse_and_return(state)
-        assert not chosen(state)
+    for feedback in (Feedback(leaving=True), Feedback(backoff_s=30.0)):
+        state = state_with_endpoint()
+        receive_feedback(state, feedback)
+        remove_and_restore_entry(state)
+        assert not is_chosen(state)
 
 
 def test_a_limit_holds_where_its_entry_lapses_and_returns():
-    state = knowing()
-    hears(state, Feedback(limit_per_s=2.0))
-    lapse_and_return(state)
+    state = state_with_endpoint()
+    receive_feedback(state, Feedback(limit_per_s=2.0))
+    remove_and_restore_entry(state)
     assert limit_of(state.endpoint_state(PLAIN)) == 2.0
 
 
 def test_rests_that_overlap_last_until_the_last_one_ends():
-    state = knowing()
+    state = state_with_endpoint()
     for rest_s, ago_s in ((30.0, 3.0), (0.5, 2.0), (0.0, 1.0)):
-        hears(state, Feedback(backoff_s=rest_s), ago_s)
-        assert not chosen(state)
+        receive_feedback(state, Feedback(backoff_s=rest_s), ago_s)
+        assert not is_chosen(state)
 
 
 def test_after_a_rest_one_request_goes_and_its_answer_ends_the_rest_or_prolongs_it():
-    state = knowing()
-    hears(state, Feedback(backoff_s=2.0), 3.0)
-    assert chosen(state)
-    hears(state, Feedback(backoff_s=2.0), 0.5)
-    assert not chosen(state)
-    state = knowing()
-    hears(state, Feedback(backoff_s=2.0), 3.0)
-    hears(state, Feedback(), 0.5)
-    assert chosen(state) and not state.backing_off
+    state = state_with_endpoint()
+    receive_feedback(state, Feedback(backoff_s=2.0), 3.0)
+    assert is_chosen(state)
+    receive_feedback(state, Feedback(backoff_s=2.0), 0.5)
+    assert not is_chosen(state)
+    state = state_with_endpoint()
+    receive_feedback(state, Feedback(backoff_s=2.0), 3.0)
+    receive_feedback(state, Feedback(), 0.5)
+    assert is_chosen(state) and not state.backing_off
 
 
 def test_a_new_life_under_the_same_id_is_bound_by_nothing_that_the_last_one_said():
-    for said in (Feedback(leaving=True), Feedback(backoff_s=30.0)):
-        state = knowing()
-        apply_endpoints(state, EndpointChanges(2, True, (born(1_000),)), monotonic())
-        hears(state, said)
-        apply_endpoints(state, EndpointChanges(3, True, (born(1_000),)), monotonic())
-        assert not chosen(state)
-        apply_endpoints(state, EndpointChanges(4, True, (born(2_000),)), monotonic())
-        assert chosen(state)
+    for feedback in (Feedback(leaving=True), Feedback(backoff_s=30.0)):
+        state = state_with_endpoint()
+        apply_endpoints(state, EndpointChanges(2, True, (incarnation(1_000),)), monotonic())
+        receive_feedback(state, feedback)
+        apply_endpoints(state, EndpointChanges(3, True, (incarnation(1_000),)), monotonic())
+        assert not is_chosen(state)
+        apply_endpoints(state, EndpointChanges(4, True, (incarnation(2_000),)), monotonic())
+        assert is_chosen(state)
 
 
 def test_a_life_that_was_only_reported_yet_is_not_told_to_be_leaving_as_the_last_one_is():
     """Its entry is that of the last life still, which said that it leaves. Found by the soak, seed 5."""
-    state, other = knowing(), knowing()
-    apply_endpoints(state, EndpointChanges(2, True, (born(1_000),)), monotonic())
-    hears(state, Feedback(leaving=True))
+    state, other = state_with_endpoint(), state_with_endpoint()
+    apply_endpoints(state, EndpointChanges(2, True, (incarnation(1_000),)), monotonic())
+    receive_feedback(state, Feedback(leaving=True))
     state.apply_report(state.fleet.by_id[PLAIN.id], EngineReport(born=2_000), monotonic())
     apply_peer_feedback(other, feedback_for_peers(state, monotonic()), monotonic())
-    apply_endpoints(other, EndpointChanges(3, True, (born(2_000),)), monotonic())
-    assert chosen(other)
+    apply_endpoints(other, EndpointChanges(3, True, (incarnation(2_000),)), monotonic())
+    assert is_chosen(other)
 
 
-class LateNews:
+class FeedbackDuringConnect:
     """Ports of a request that learns, while its connection opens, what its endpoint said of its use."""
 
-    def __init__(self, state: BoxState, said: Feedback) -> None:
-        self.state, self.said = state, said
-        self.may_go: list[bool] = []
+    def __init__(self, state: BoxState, feedback: Feedback) -> None:
+        self.state, self.feedback = state, feedback
+        self.guard_results: list[bool] = []
 
     async def choose(self, job: Job, progress: JobProgress, most_backlog_s: float | None) -> Choice | None:
-        return None if self.may_go else Choice(PLAIN)
+        return None if self.guard_results else Choice(PLAIN)
 
     def retry_after_s(self, job: Job, progress: JobProgress) -> float | None:
         return None
@@ -132,22 +134,26 @@
         assert outcome == Outcome.NOT_SENT
 
     async def send(self, call, body, dispatch, attempt, guard, wait_s) -> Err[SendFailure]:
-        hears(self.state, self.said)
-        self.may_go.append(guard())
+        receive_feedback(self.state, self.feedback)
+        self.guard_results.append(guard())
         return Err(SendFailure(ErrorKind.ENDPOINT_FAILED, ExecutionStatus.NOT_RUN, "not sent", fault=False))
 
 
 def test_a_request_is_stopped_right_before_its_bytes_leave_where_its_endpoint_leaves_or_rests_by_then():
     route = Route("plain", "svc", "/", (), timeout_s=5.0)
     call = Call("call-1", "GET", "svc", "/x", "/x", ())
-    for said, goes in ((Feedback(), True), (Feedback(leaving=True), False), (Feedback(backoff_s=9), False)):
-        state = knowing()
-        ports = LateNews(state, said)
+    for feedback, may_send in (
+        (Feedback(), True),
+        (Feedback(leaving=True), False),
+        (Feedback(backoff_s=9), False),
+    ):
+        state = state_with_endpoint()
+        ports = FeedbackDuringConnect(state, feedback)
         now = monotonic()
         job = Job(call, b"", CATALOG, route, CATALOG.services_by_id["plain"], None, now, now + 5.0)
         ended = asyncio.run(Dispatcher(state, ports, ports, CrashDetector(state, None)).run(job, None))
-        assert ports.may_go == [goes] and ended.err_value.ran == ExecutionStatus.NOT_RUN
+        assert ports.guard_results == [may_send] and ended.err_value.ran == ExecutionStatus.NOT_RUN
 
 
-def born(at_ms: int) -> Listed:
-    return Listed(PLAIN.id, PLAIN.service, PLAIN.address, PLAIN.data_hall, PLAIN.slots, born=at_ms)
+def incarnation(at_ms: int) -> FleetEndpoint:
+    return FleetEndpoint(PLAIN.id, PLAIN.service, PLAIN.address, PLAIN.data_hall, PLAIN.slots, born=at_ms)
--- a/tests/test_statements_read.py
+++ b/tests/test_statements_read.py
@@ -15,7 +15,7 @@
 NOON = datetime(2026, 1, 5, 12, 0, tzinfo=UTC)
 
 
-def said(status: int = 503, *headers: tuple[str, str]) -> Feedback:
+def feedback_of(status: int = 503, *headers: tuple[str, str]) -> Feedback:
     return parse_feedback(CIMultiDictProxy(CIMultiDict(headers)), status)
 
 
@@ -64,28 +64,33 @@
 def test_a_date_counts_by_the_clock_of_who_wrote_it():
     until = format_datetime(NOON + timedelta(seconds=7), usegmt=True)
     date = format_datetime(NOON, usegmt=True)
-    assert said(503, ("Retry-After", until), ("Date", date)).backoff_s == 7
+    assert feedback_of(503, ("Retry-After", until), ("Date", date)).backoff_s == 7
 
 
 def test_only_an_answer_that_turns_a_request_away_asks_for_rest():
-    assert [said(status, ("Retry-After", "3")).backoff_s for status in (200, 429, 500, 503)] == [0, 0, 0, 3]
+    assert [feedback_of(status, ("Retry-After", "3")).backoff_s for status in (200, 429, 500, 503)] == [
+        0,
+        0,
+        0,
+        3,
+    ]
 
 
 def test_of_several_statements_the_strictest_holds():
     limits = ("Server-Limit", "4"), ("Server-Limit", "2"), ("Server-Limit", "odd")
     rests = ("Retry-After", "1"), ("Retry-After", "2.5"), ("Retry-After", "odd")
     leaving = ("Server-Leaving", "odd"), ("Server-Leaving", "1")
-    assert said(503, *limits, *rests, *leaving) == Feedback(2.0, True, 2.5)
+    assert feedback_of(503, *limits, *rests, *leaving) == Feedback(2.0, True, 2.5)
 
 
 @pytest.mark.parametrize("text", ["", "0", "yes", "true", "2", "11"])
 def test_only_one_word_says_that_an_endpoint_leaves(text):
-    read = said(200, ("Server-Leaving", text))
+    read = feedback_of(200, ("Server-Leaving", text))
     assert read.leaving is None and read.unreadable == ((Topic.LEAVING, text or "(empty)"),)
 
 
 def test_an_answer_without_statements_says_nothing():
-    assert said(503) == Feedback()
+    assert feedback_of(503) == Feedback()
 
 
 def test_after_a_rest_one_request_goes_and_others_wait_for_it():
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -17,7 +17,7 @@
 from tests.site import eventually
 from tests.states import box_state
 
-SOON_S = 1.0
+MAX_DELAY_S = 1.0
 """Seconds in which what an event brings about has to be there, also on a busy machine."""
 
 
@@ -60,31 +60,31 @@
     asyncio.run(scenario())
 
 
-class Channels:
+class StubRouterClients:
     """Stands for the channels to routers: notes what they are told. `silent`: addresses without answer."""
 
     def __init__(self, state: BoxState) -> None:
-        self.links = RouterClients(state)
+        self.router_clients = RouterClients(state)
         self.silent: set[str] = set()
-        self.told: list[tuple[str, FinishedNotice]] = []
+        self.notices_received: list[tuple[str, FinishedNotice]] = []
 
-    def client_for(self, router: Member) -> "Channel":
-        return Channel(self, router.address)
+    def client_for(self, router: Member) -> "StubRouterClient":
+        return StubRouterClient(self, router.address)
 
     def record_answer(self, router, answer, question):
-        return self.links.record_answer(router, answer, question)
+        return self.router_clients.record_answer(router, answer, question)
 
 
-class Channel:
-    def __init__(self, channels: Channels, address: str) -> None:
-        self.channels = channels
+class StubRouterClient:
+    def __init__(self, clients: StubRouterClients, address: str) -> None:
+        self.clients = clients
         self.address = address
 
     async def finished(self, notice: FinishedNotice, limit_s: float) -> Empty | None:
-        if self.address in self.channels.silent:
+        if self.address in self.clients.silent:
             await asyncio.sleep(0.05)
             return None
-        self.channels.told.append((self.address, notice))
+        self.clients.notices_received.append((self.address, notice))
         return Empty()
 
 
@@ -95,19 +95,23 @@
         state = box_state()
         first, second = Member("r-1", "one"), Member("r-2", "two")
         state.routers = (first, second)
-        channels = Channels(state)
-        channels.silent.add("two")
-        notices = NoticeSender(state, channels, LocalRouter(state, None))
-        telling = asyncio.create_task(notices.run())
+        clients = StubRouterClients(state)
+        clients.silent.add("two")
+        notices = NoticeSender(state, clients, LocalRouter(state, None))
+        sending = asyncio.create_task(notices.run())
         await asyncio.sleep(0.05)
         notices.add_ended(first, EndedAttempt("t-1"))
         notices.add_ended(second, EndedAttempt("t-2"))
-        await eventually(lambda: ("one", FinishedNotice((EndedAttempt("t-1"),), ())) in channels.told, 2.0)
+        await eventually(
+            lambda: ("one", FinishedNotice((EndedAttempt("t-1"),), ())) in clients.notices_received, 2.0
+        )
         await eventually(lambda: state.suspected_until_by_id, 2.0)
-        channels.silent.clear()
-        await eventually(lambda: ("two", FinishedNotice((EndedAttempt("t-2"),), ())) in channels.told, 2.0)
+        clients.silent.clear()
+        await eventually(
+            lambda: ("two", FinishedNotice((EndedAttempt("t-2"),), ())) in clients.notices_received, 2.0
+        )
         assert not notices.ended_by_router and not notices.sending_by_router
-        telling.cancel()
+        sending.cancel()
 
     asyncio.run(scenario())
 
@@ -115,20 +119,20 @@
 def test_a_held_question_is_answered_as_soon_as_there_is_news_or_the_view_gets_too_old():
     async def scenario():
         state = box_state()
-        part = LocalRouter(state, None)
+        local_router = LocalRouter(state, None)
         apply_operators(state, OperatorChanges(1, True, versions_by_model={"m": 1}), monotonic())
-        asking = asyncio.create_task(part._on_operators(OperatorsRequest(1, 5.0)))
+        pending = asyncio.create_task(local_router._on_operators(OperatorsRequest(1, 5.0)))
         await asyncio.sleep(0.05)
-        assert not asking.done()
+        assert not pending.done()
         apply_operators(state, OperatorChanges(2, False, versions_by_model={"m": 2}), monotonic())
-        reply = await asyncio.wait_for(asking, SOON_S)
+        reply = await asyncio.wait_for(pending, MAX_DELAY_S)
         assert reply.changes.versions_by_model == {"m": 2} and reply.held_s >= 0.04
 
         # Nothing new comes: the answer is given when the view becomes too old to pass on.
-        lasts_s = state.view_valid_for_s(state.view_age())
+        valid_for_s = state.view_valid_for_s(state.view_age())
         began = monotonic()
-        reply = await part._on_operators(OperatorsRequest(2, 5.0))
+        reply = await local_router._on_operators(OperatorsRequest(2, 5.0))
         assert not reply.changes.versions_by_model
-        assert lasts_s - 0.01 <= monotonic() - began <= lasts_s + SOON_S
+        assert valid_for_s - 0.01 <= monotonic() - began <= valid_for_s + MAX_DELAY_S
 
     asyncio.run(scenario())
