--- a/tests/loads/__init__.py
+++ b/tests/loads/__init__.py
@@ -1,5 +1,4 @@
-"""Loads played on virtual time: what callers and endpoints get out of the product's own decisions.
+"""Load simulations on virtual time, without sockets, of the product's decisions.
 
-Each module names the pattern it plays and where its figures come from. No sockets, no real time; all chance
-comes from seeds.
+Each module names its load pattern and the grounds for its figures. All randomness is seeded.
 """
--- a/tests/loads/test_hall_returns_cold.py
+++ b/tests/loads/test_hall_returns_cold.py
@@ -1,9 +1,8 @@
-"""Pattern: a data hall that was evacuated at the peak returns, and all its endpoints are cold and empty.
+"""Pattern: a data hall returns from evacuation at peak load, with all its endpoints cold and idle.
 
-Every router and every box sees ten idle engines beside twenty that are full, so that all would send there at
-once. Figures: 71 boxes in three halls before 30 engines (13 prompts a second each on average); a cold engine
-bears 18 requests a second and falls over from 32 a second on, summed over all boxes (`cold_per_s`,
-`cold_overage`, `cold_slack` of that deployment). Here all have more to send than the engines take.
+Figures: the deployment of 71 boxes and 30 engines in three halls, where a cold engine takes 18 requests a
+second and overloads from 32, over all boxes (its `cold_per_s`, `cold_overage`, `cold_slack`). All boxes have
+more to send than the engines take.
 """
 
 from collections.abc import Callable
@@ -15,18 +14,18 @@
 
 COLD_LIMIT_PER_S = 18.0
 OVERLOAD_REQUESTS = 32
-"""Requests within one second from which a cold engine falls over."""
+"""Requests within one second from which a cold engine is overloaded."""
 
 BOXES = 71
 SIMULATED_S = 6.0
 STEP_S = 0.005
 
 Sender = Callable[[float], bool]
-"""Tells whether one more request goes to the engine now."""
+"""Sends a request to the engine now if it may; tells whether it did."""
 
 
 def router(start: float = 0.0) -> Sender:
-    """A router that has always more prompts than the engine may get."""
+    """A router that always has a prompt for the engine."""
     pacer = Pacer(start)
     per_s = COLD_LIMIT_PER_S * COLD_SHARES.router
 
@@ -40,7 +39,7 @@
 
 
 def standalone_box(boxes: int, chance: Random, share: float = COLD_SHARES.standalone) -> Sender:
-    """A box that finds no router to ask, and always has a prompt for the engine."""
+    """A box that reaches no router and always has a prompt for the engine."""
     current: list[Pacer | None] = [None]
     per_s = COLD_LIMIT_PER_S * share / boxes
 
@@ -55,7 +54,7 @@
 
 
 def unpaced_box(boxes: int) -> Sender:
-    """The way that lost: each box may spend its share of a second at once, and at least one request."""
+    """A box that starts at once instead of at a random time."""
     pacer = Pacer(0.0)
     per_s = COLD_LIMIT_PER_S / boxes
 
--- a/tests/loads/test_limits_of_endpoints.py
+++ b/tests/loads/test_limits_of_endpoints.py
@@ -1,11 +1,9 @@
-"""Pattern: an endpoint names how many requests a second it takes, and hundreds of boxes press on it.
-
-The product's own decisions on virtual time, for as many boxes as there are: what each believes (`BoxState`),
-what it may send (`pacing`), what it hears and is told (`limits`). There is always more to send. A request is
-3 ms on its way, and the head of its answer, which names the limit, comes after 100 ms. Boxes and routers tell
-each other what they heard each 0.5 s, and before each prompt that a router would place unaware. Figures: 6,
-71 and 195 boxes are the deployments', 330 the largest that is planned; an endpoint bears in any 4 s one and a
-half times its limit and five more, from 3 s after it named it, from boxes that it told half a second before.
+"""Pattern: an endpoint states a rate limit in its answers, and hundreds of boxes offer more than that.
+
+Boxes and routers exchange feedback each 0.5 s, and before a prompt that a router would place unaware of the
+limit. Figures: 6, 71 and 195 boxes are the deployments', 330 the largest planned. From 3 s after it first
+stated a limit, an endpoint takes one and a half times that and five more in any 4 s, from boxes that got it
+half a second before.
 """
 
 from collections.abc import Callable
@@ -39,7 +37,7 @@
 ENDS_AT = 45.0
 OFFERED_PER_S = 60.0
 MIN_UTILIZATION = 0.6
-"""Share of its limit that an endpoint gets at least while there is more to send."""
+"""Minimum share of its limit that an endpoint gets while more is offered."""
 
 FLEET_SIZES = (6, 71, 195, 330)
 LIMITS = (0.4, 1.0, 2.8, 9.0, 25.0)
@@ -55,10 +53,10 @@
 )
 
 LimitAt = Callable[[float], float]
-"""The limit that the endpoint's answers name at a time, UNLIMITED where they name none."""
+"""The limit stated in the endpoint's answers at a time, or UNLIMITED."""
 
 RouterLookup = Callable[[int, float], int | None]
-"""The router that a box asks at a time, by number; None where none answers, and it decides alone."""
+"""The number of the router that a box asks at a time, or None where none answers."""
 
 
 def make_box(name: str, boxes: int) -> BoxState:
@@ -72,10 +70,10 @@
 
 @dataclass
 class Simulation:
-    """A fleet before one endpoint.
+    """A fleet that sends to one endpoint.
 
-    arrived: when requests reached it, and from which box. told_at_by_box: when each box first passed on an
-    answer that named a limit.
+    arrived: when requests reached it, and from which box. informed_at_by_box: when each box first got an
+    answer with a limit.
     """
 
     endpoint: Endpoint
@@ -151,12 +149,12 @@
             apply_peer_feedback(first, feedback_for_peers(second, now), now)
 
     def arrivals_from_informed(self) -> list[float]:
-        """Return when requests arrived from boxes that had been told half a second before."""
+        """Return the arrival times of requests from boxes that knew the limit for REACTION_S."""
         never = float("inf")
         return [at for at, box in self.arrived if self.informed_at_by_box.get(box, never) + REACTION_S <= at]
 
     def window_counts(self, start: float, end: float) -> list[int]:
-        """Return the requests in each window that begins in a span."""
+        """Return the requests in each window within a span."""
         times, counts, start_at = self.arrivals_from_informed(), [], start
         while start_at + WINDOW_S <= end:
             counts.append(sum(start_at <= at < start_at + WINDOW_S for at in times))
@@ -164,7 +162,7 @@
         return counts
 
     def rate(self, start: float, end: float) -> float:
-        """Return the requests a second that the endpoint got, from whichever box."""
+        """Return the requests per second that the endpoint got from all boxes."""
         return sum(start <= at < end for at, _ in self.arrived) / (end - start)
 
 
@@ -177,7 +175,7 @@
 
 
 def assign_engine(*routers: BoxState) -> None:
-    """Have routers believe that the engine is theirs."""
+    """Make routers take the engine as their own."""
     for state in routers:
         state.routed_engines = frozenset({ENGINE.id})
 
@@ -223,7 +221,7 @@
 @pytest.mark.parametrize("boxes", FLEET_SIZES)
 @pytest.mark.parametrize("per_s", LIMITS)
 def test_two_routers_and_boxes_that_ask_none_stay_below_it_while_the_engine_changes_hands(boxes, per_s):
-    """A third of the boxes each ask the one before, ask the one that took over, and ask nobody."""
+    """A third of the boxes ask the old router, a third the new one, and a third none."""
     simulation = routed_simulation(
         boxes, constant_limit(per_s), lambda box, now: (0, 1, None)[box % 3] if now > 15 else 0
     )
@@ -291,7 +289,7 @@
 
 @pytest.mark.parametrize("share", (0.9, 1.0))
 def test_two_routers_that_each_spent_nearly_all_of_a_limit_would_pass_it(share):
-    """The ways that lost."""
+    """Shows that the router share of LIMIT_SHARES must be lower than these."""
     per_s = 9.0
     pacers = [Pacer(0.0), Pacer(0.0)]
     sent = 0
--- a/tests/loads/test_limits_that_fall.py
+++ b/tests/loads/test_limits_that_fall.py
@@ -1,10 +1,8 @@
-"""Pattern: an endpoint's limit falls while most boxes have had nothing for it for a while, and then all have.
+"""Pattern: an endpoint lowers its limit while most boxes are idle, and then all have a request for it.
 
-The product's own decisions on virtual time. Each box sent one request under the old limit, is told of the
-new one, and has a request for the endpoint at some moment of the four seconds that begin three seconds later;
-what may come then is one and a half times the new limit and five more. 6, 71 and 195 boxes are the
-deployments', 330 the largest that is planned. Seen first as a window four fifths full in a soak of four boxes
-(seed 56).
+Each box sent one request under the old limit and sends again within four seconds, from 3 s after the new one.
+Figures: 6, 71 and 195 boxes are the deployments', 330 the largest planned; the endpoint takes one and a half
+times the new limit and five more.
 """
 
 from random import Random
--- a/tests/loads/test_rests_that_end.py
+++ b/tests/loads/test_rests_that_end.py
@@ -1,9 +1,7 @@
-"""Pattern: an endpoint asks all boxes for rest at about the same time, and all of them have work for it when
-that is over.
+"""Pattern: an endpoint asks all boxes to back off within 0.1 s, and all have work for it afterwards.
 
-The product's own decisions on virtual time. An endpoint with 6 places that answers in 45 ms, and one with 64
-that takes a second, as the deployments' plain services and engines; 6, 71 and 195 boxes are the deployments',
-330 the largest that is planned. Each box is asked once within a tenth of a second.
+Figures: 6 slots at 45 ms and 64 slots at 1 s are the deployments' plain services and engines; 6, 71 and 195
+boxes are theirs, 330 the largest planned.
 """
 
 from random import Random
@@ -21,10 +19,10 @@
 ASKED_WITHIN_S = 0.1
 WINDOW_S = 0.1
 MAX_LOAD_FACTOR = 2.0
-"""Times what an endpoint does in a window that may come in one: its queue bears as much again."""
+"""Highest load in a window, in multiples of the endpoint's throughput; its queue absorbs the excess."""
 
 MAX_RESUME_S = 2 * BACKOFF_S
-"""Seconds from when a box was asked within which it sends again."""
+"""Longest time in seconds until a box that was asked to back off sends again."""
 
 FLEET_SIZES = (1, 6, 71, 195, 330)
 ENDPOINT_PROFILES = ((6, 0.045), (64, 1.0))
@@ -39,7 +37,7 @@
 
 
 def resume_time(state: BoxState, endpoint: Endpoint, asked_at: float) -> float:
-    """Return when a box that always has work for an endpoint sends it the next request."""
+    """Return when a box with pending work sends the next request to an endpoint that asked for back-off."""
     apply_feedback(
         state, endpoint, state.endpoint_state(endpoint), Feedback(backoff_s=BACKOFF_S), asked_at, asked_at
     )
@@ -59,7 +57,9 @@
         resumed_at = resume_time(state, endpoint, asked_at)
         assert resumed_at >= asked_at + BACKOFF_S
         record_probe(state.endpoint_state(endpoint), resumed_at)
-        assert backoffs_by_id(state, resumed_at + 0.01), "the next one waits for the answer"
+        assert backoffs_by_id(state, resumed_at + 0.01), (
+            "a second request must wait for the answer to the first"
+        )
         times.append(resumed_at)
     fullest = max(sum(start <= at < start + WINDOW_S for at in times) for start in times)
     assert fullest <= max(1, slots, MAX_LOAD_FACTOR * WINDOW_S * slots / work_s)
--- a/tests/soak_statements.py
+++ b/tests/soak_statements.py
@@ -1,12 +1,8 @@
-"""A soak of several boxes before endpoints that say of their use what they can, alone and all at once: limits
-that they name, change and end; that they leave; that they want rest.
+"""A soak of several boxes whose endpoints state limits, leave, and ask for back-off, also at the same time.
 
-Boxes are killed, stopped for a while and started again meanwhile, and the table service is away. `python -m
-tests.soak_statements --seed 1 --seconds 60` plays one.
-
-It holds that no endpoint gets in any window more than it bears from boxes that it had told, nothing from
-boxes that it had told of its leaving, and no more than two requests from a box that it had asked for rest;
-and that all endpoints get work again afterwards. An endpoint that left starts again under its id.
+Meanwhile boxes are killed or stopped and the table service is down. It checks that no endpoint gets more than
+it takes from boxes that it informed, and that all endpoints get work again at the end. To run it:
+`python -m tests.soak_statements --seed 1 --seconds 60`.
 """
 
 import argparse
@@ -25,14 +21,14 @@
 from tests.standins.dialect import Endpoint
 
 PROPAGATION_S, REACTION_S, WINDOW_S = 3.0, 0.5, 4.0
-"""As in tests.test_limits: when a limit binds after its first naming, and a box after it was told."""
+"""As in tests.test_limits; REACTION_S: when a limit binds a box after the box got it."""
 
 RECOVERY_S = 3.0
-"""Seconds after its start, or after it went on, from which a box counts."""
+"""Seconds after a start or a pause from which a box is checked."""
 
 DRAIN_S = 2.0
 BACKOFF_REACTION_S, MAX_DURING_BACKOFF = 0.5, 2
-"""As in tests.test_statements: when leaving binds a box that was told, when rest does, and what it bears."""
+"""As in tests.test_statements."""
 
 RETRY_AFTER_VALUES = ("0.4", "1.5", "3", "4.25", "soon", "a date")
 REQUESTS_PER_S = 60.0
@@ -43,13 +39,13 @@
 
 @dataclass
 class LimitPeriod:
-    """One time for which an endpoint names a limit: the limits, each with its beginning, and the end."""
+    """A period in which an endpoint states limits: each with its start, and the end of the last."""
 
     limits: list[tuple[float, float]]
     until: float = float("inf")
 
     def max_limit(self, start: float, end: float) -> float:
-        """Return the highest limit that bound boxes at any time in a span."""
+        """Return the highest limit that applied at any time in a span."""
         following = [*(at for at, _ in self.limits[1:]), self.until]
         spans = zip(self.limits, following, strict=True)
         return max(per_s for (at, per_s), ended in spans if at < end and ended + PROPAGATION_S > start)
@@ -57,12 +53,11 @@
 
 @dataclass
 class Outcome:
-    """What a soak showed.
+    """The result of a soak.
 
-    broken: windows with more than the endpoint bears, and requests that came in spite of leaving or rest.
-    windows: those looked at. highest_share: of what an endpoint bears, in the fullest of them, which
-    `fullest` tells. healed: endpoints that get work at the end. leavings, rests: answers that said so to
-    boxes which counted.
+    broken: violations. windows: how many were checked. highest_share: the load of the fullest window as a
+    share of what was allowed; `fullest` describes it. healed: endpoints that get work at the end. leavings,
+    rests: checked answers that stated a leaving or asked for back-off.
     """
 
     broken: list[str] = field(default_factory=list)
@@ -82,7 +77,7 @@
 
 
 class Soak:
-    """The boxes, and what befalls them."""
+    """Applies load, feedback and faults to the boxes, and checks what endpoints got."""
 
     def __init__(self, boxes: list[Site], chance: Random, seconds: float) -> None:
         self.boxes = boxes
@@ -100,9 +95,9 @@
         self.calls: set[asyncio.Task] = set()
 
     async def run(self) -> Outcome:
-        """Play it to its end, and judge."""
+        """Run to the end and check the results."""
         limits = [self._vary_limits(endpoint) for endpoint in self.endpoints]
-        # Limits of the others are judged over windows that no new life cuts short.
+        # The others never restart, so that their limits are checked over long windows.
         leaving = [self._leave_and_restart(endpoint) for endpoint in self.endpoints[::2]]
         backoffs = [self._request_backoffs(endpoint) for endpoint in self.endpoints]
         await asyncio.gather(
@@ -135,7 +130,7 @@
             await asyncio.sleep(self.chance.expovariate(REQUESTS_PER_S))
 
     async def _request(self, number: int) -> None:
-        """Send a request, and again as told where it is refused."""
+        """Send a request, and retry it once after Retry-After."""
         plain = self.chance.random() < 0.4
         for again in range(2):
             box = self.chance.choice(self.boxes)
@@ -151,7 +146,7 @@
             await asyncio.sleep(min(1.0, float(answer.headers.get("Retry-After", 0.25))))
 
     def _set_limit(self, endpoint: Endpoint, limit: float | None) -> None:
-        """Have an endpoint name a limit from now on, or none."""
+        """Set or clear the limit that an endpoint states."""
         before = endpoint.limit
         endpoint.limit = None if limit is None else str(limit)
         periods = self.limit_periods[endpoint.id]
@@ -164,7 +159,7 @@
             periods[-1].limits.append((loop_time(), limit))
 
     async def _vary_limits(self, endpoint: Endpoint) -> None:
-        """Have an endpoint name a limit from time to time, which may change."""
+        """Set, change and clear an endpoint's limit from time to time."""
         while self._running():
             await asyncio.sleep(self.chance.uniform(2.0, 12.0))
             for _ in range(self.chance.choice((1, 1, 2))):
@@ -173,8 +168,8 @@
             self._set_limit(endpoint, None)
 
     async def _leave_and_restart(self, endpoint: Endpoint) -> None:
-        """Have an endpoint leave from time to time, and start again. Its entry goes on saying that it is
-        ready, or lapses and returns meanwhile, or tells late that it leaves."""
+        """Make an endpoint leave and restart under its id from time to time. Its entry stays ready, lapses,
+        or becomes draining late."""
         chance = Random(self.chance.random())
         while self._running():
             await asyncio.sleep(chance.uniform(5.0, 18.0))
@@ -192,15 +187,15 @@
             endpoint.born += 1_000
             self.incarnations_started[endpoint.id].append(loop_time())
             if endpoint.limit is not None:
-                # The limit of the last life binds nobody in this one, which names its own.
+                # A limit ends with its incarnation; the new one states its own.
                 limit = float(endpoint.limit)
                 self._set_limit(endpoint, None)
                 self._set_limit(endpoint, limit)
             self.table.put("servers", endpoint.id, endpoint.entry())
 
     async def _request_backoffs(self, endpoint: Endpoint) -> None:
-        """Have an endpoint turn requests away from time to time, and ask for rest: in whole seconds, in parts
-        of one, by a date, in words that nobody understands."""
+        """Make an endpoint turn requests away from time to time, with Retry-After in seconds, as a date, or
+        invalid."""
         chance = Random(self.chance.random())
         while self._running():
             await asyncio.sleep(chance.uniform(2.0, 12.0))
@@ -216,7 +211,7 @@
             endpoint.refuse = 0
 
     async def _limit_all(self) -> None:
-        """Once, have all endpoints name limits together."""
+        """Set limits on all endpoints at the same time, once."""
         await asyncio.sleep(self.chance.uniform(5.0, 15.0))
         for endpoint in self.endpoints:
             if endpoint.limit is None:
@@ -244,7 +239,7 @@
             self.downtimes[box.name].append((began, loop_time()))
 
     async def _check_recovery(self) -> None:
-        """Send requests until all endpoints have got some again, or for a while."""
+        """Send requests until all endpoints get work again, or a timeout."""
         before = {endpoint.id: len(endpoint.arrived) for endpoint in self.endpoints}
         until = loop_time() + 20.0
         while loop_time() < until and self.outcome.healed < len(self.endpoints):
@@ -261,7 +256,7 @@
         return any(began <= end and ended >= start for began, ended in self.downtimes[box])
 
     def _check_leaving(self, endpoint: Endpoint) -> None:
-        """Nothing comes from a box later than it may after the same life told it that it leaves."""
+        """Check that no box sends later than DRAIN_S after the same incarnation told it that it leaves."""
         told_at_by_box: dict[tuple[str, float], float] = {}
         for at, call_id in endpoint.told_leaving:
             box = self.box_by_call.get(call_id)
@@ -281,7 +276,7 @@
         return max(began for began in self.incarnations_started[endpoint.id] if began <= at)
 
     def _check_backoffs(self, endpoint: Endpoint) -> None:
-        """No more than two come from a box while an endpoint has asked it for rest."""
+        """Check that a box sends at most MAX_DURING_BACKOFF requests while in back-off."""
         for at, call_id, text in endpoint.rested:
             box = self.box_by_call.get(call_id)
             until = self._backoff_until(at, text)
@@ -303,7 +298,7 @@
         return NEVER if text == "soon" else at + float(text)
 
     def _informed_at(self, endpoint: Endpoint, period: LimitPeriod, box: str, at: float) -> float:
-        """Return when a box was first told of a limit, in the life that it had at a time."""
+        """Return when a box first got a limit since its last restart before a time."""
         restarted_at = [ended for _, ended in self.downtimes[box] if ended <= at]
         since = max([period.limits[0][0], *restarted_at])
         told = [
@@ -341,7 +336,7 @@
                 )
 
     def _describe_window(self, endpoint: Endpoint, limit: float, start: float) -> str:
-        """Return what came in a window, by box, in seconds from its start."""
+        """Describe the requests of a window, by box, in seconds from its start."""
         came = [
             f"{self.box_by_call.get(call_id)} {at - start:.2f}"
             for at, call_id in endpoint.arrived
@@ -351,7 +346,7 @@
 
 
 async def soak(seed: int, seconds: float, boxes: int = 4) -> Outcome:
-    """Play a soak, and return what it showed."""
+    """Run a soak and return its result."""
     async with several_boxes(boxes) as sites:
         for endpoint in sites[0].endpoints:
             endpoint.hold_s, endpoint.born = 0.03, 1_000
@@ -361,7 +356,7 @@
 
 
 def main() -> None:
-    """Play the soak that the command line names, and tell what it showed."""
+    """Run the soak that the command line asks for and print its result."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=60.0)
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -1,4 +1,4 @@
-"""What a box believes of an engine when it chooses one."""
+"""The choice of an engine: estimated backlog, preferred engines, sources of cached blocks, and follow-up."""
 
 import asyncio
 from dataclasses import replace
@@ -27,7 +27,7 @@
 
 
 def router_state(engines: int = 1) -> BoxState:
-    """The state of a router that has all engines, each with a young report."""
+    """Return the state of a router that owns all engines, each with a recent report."""
     state = box_state()
     listed = [Endpoint(f"e-{n}", "llm", f"10.0.1.{n}:1", "hall-a", 8) for n in range(engines)]
     state.catalog = CATALOG
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,4 +1,4 @@
-"""For how long an endpoint that vanished from the list without a word may get new work."""
+"""How long an endpoint that disappeared from the list without draining may get new work."""
 
 import asyncio
 from itertools import product
@@ -21,7 +21,7 @@
 
 
 class ScriptedFeed:
-    """Gives answers in a row, each after a time; keeps when each was asked for and given."""
+    """Stub feed that gives scripted answers, each after a delay, and records when."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -42,7 +42,7 @@
 
 
 async def follow_answers(*answers) -> tuple[BoxState, ScriptedFeed]:
-    """Follow a list that gives these answers, until all are taken in."""
+    """Follow a feed with these answers until all are applied."""
     state = box_state()
     script = ScriptedFeed(*answers)
     following = asyncio.create_task(follow_endpoints(state, script))
@@ -56,8 +56,8 @@
 
 
 def test_a_vanished_endpoint_gets_work_only_shortly_after_the_last_view_that_showed_it():
-    """The box learns late that it is gone: its question waited for a router that said nothing. A view that
-    was passed on is as old as the router says, and a history that was forgotten is an answer."""
+    """The grace period counts from the age of the last view that listed it, also when a router did not answer
+    or the history was gone meanwhile."""
 
     async def case(gone, between, behind_s) -> None:
         shown = Ok(EndpointChanges(1, True, (ENDPOINT,), behind_s=behind_s))
@@ -88,7 +88,7 @@
 
 
 def test_nothing_goes_to_a_vanished_endpoint_two_seconds_later_where_a_router_falls_silent():
-    """The router's last word was 0.8 s old, and the box waits for another before it asks for itself."""
+    """The router's last view was 0.8 s old, and the box waits for another before it asks elsewhere."""
 
     async def scenario():
         async with routed(drain_ms=2000) as (here, router):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,11 +1,7 @@
-"""Endpoints name rate limits in their answers: requests a second that they take from all callers together.
+"""Endpoints state rate limits in their answers, which bind all boxes together.
 
-Seen on six boxes and five engines: two engines that named 2.8 and 3.5 requests a second got 24 and 29 in four
-seconds, from boxes that had passed on answers which named the limit three seconds before; engines without a
-limit got 38 to 54. All were placed by one router, which held two idle engines for good ones. No box read the
-limit: lines about it show that boxes had heard it and sent on, and that the router was never told.
-
-What a box does is seen at stand-ins of the endpoints and in its log; the boxes are real processes.
+Guards against boxes and routers that send more than a limit they were told. Boxes are real processes, before
+stand-ins of the endpoints.
 """
 
 import asyncio
@@ -19,35 +15,34 @@
 from tests.standins.dialect import Endpoint
 
 PROPAGATION_S = 3.0
-"""Seconds from its first naming on from which a limit binds all boxes that were told: the shortest time for
-which a box must have been in touch on any deployment."""
+"""Seconds after an endpoint first states a limit from which all boxes must keep to it."""
 
 WINDOW_S = 4.0
 LIMIT_FACTOR, LIMIT_SLACK = 1.5, 5.0
-"""In each window of that length an endpoint bears so many times its limit, and so many requests more."""
+"""In each window an endpoint takes LIMIT_FACTOR times its limit, and LIMIT_SLACK requests more."""
 
 MAX_REFUSAL_S = 1.0
-"""Seconds within which a refusal comes at once, on a busy machine: their time is over after three."""
+"""Longest time in seconds for an immediate refusal, on a busy machine."""
 
 LOAD_DURATION_S = 8.5
-"""Seconds of pressing: until a limit binds, and a window or more after that."""
+"""Seconds of load: until a limit binds, and at least one window after that."""
 
 SendRequest = Callable[[int], Awaitable[Answer]]
 
 
 def max_in_window(limit: float) -> float:
-    """Return how many requests an endpoint that names a limit may get in a window."""
+    """Return the most requests that an endpoint with a limit may get in a window."""
     return LIMIT_FACTOR * limit * WINDOW_S + LIMIT_SLACK
 
 
 def max_window_count(endpoint: Endpoint, limit_since: float) -> int:
-    """Return the most requests that an endpoint got in a window, of those that begin once the limit binds."""
+    """Return the most requests that an endpoint got in a window once the limit binds."""
     times = [at for at, _ in endpoint.arrived if at >= limit_since + PROPAGATION_S]
     return max((sum(at <= other < at + WINDOW_S for other in times) for at in times), default=0)
 
 
 def min_window_count(endpoint: Endpoint, limit_since: float, until: float) -> int:
-    """Return the fewest requests that an endpoint got in a window from then on."""
+    """Return the fewest requests that an endpoint got in a window once the limit binds."""
     starts = [limit_since + PROPAGATION_S + step / 10 for step in range(200)]
     return min(
         sum(start <= at < start + WINDOW_S for at, _ in endpoint.arrived)
@@ -57,7 +52,7 @@
 
 
 async def send_load(call: SendRequest, per_s: float, for_s: float = LOAD_DURATION_S) -> list[Answer]:
-    """Send requests evenly, whether or not earlier ones were answered; return their answers."""
+    """Send requests at a fixed rate, without waiting for earlier ones; return their answers."""
     calls = []
     for number in range(int(per_s * for_s)):
         calls.append(asyncio.ensure_future(call(number)))
@@ -71,7 +66,7 @@
 
 @asynccontextmanager
 async def single_box(**options) -> AsyncIterator[Site]:
-    """A box that knows all boxes there are: itself."""
+    """Start one box and wait until it knows that it is the only one."""
     async with site(**options) as here:
         while not here.logged("router", outcome="picked"):
             await asyncio.sleep(0.05)
@@ -79,7 +74,7 @@
 
 
 def refused_with_retry_after(answers: list[Answer]) -> bool:
-    """Tell whether all answers that are no success are refusals, given at once, that say when to come."""
+    """Tell whether all failed answers are immediate 503s with Retry-After."""
     refused = [answer for answer in answers if answer.status != 200]
     return all(
         answer.status == 503 and float(answer.headers["Retry-After"]) > 0 and answer.took_s < MAX_REFUSAL_S
@@ -140,7 +135,7 @@
 
 
 def test_a_caller_that_is_refused_for_a_limit_is_served_when_it_was_told_to_come():
-    """A box's first turn comes at a moment drawn by chance; the next ones follow it evenly."""
+    """A box starts pacing at a random time and sends evenly after that."""
 
     async def scenario():
         async with single_box(plain=1) as here:
--- a/tests/test_limits_named.py
+++ b/tests/test_limits_named.py
@@ -1,4 +1,4 @@
-"""What endpoints say of their limits: how it is read, and which of two statements holds."""
+"""Rate limits in answers of endpoints: how they are parsed, and which of two reports holds."""
 
 import pytest
 from hypothesis import given
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -1,4 +1,4 @@
-"""What a box believes of an endpoint is of one life of it, and what it believes of a hall is of one view."""
+"""A box's state of an endpoint belongs to one incarnation, and its state of data halls to one view."""
 
 from dataclasses import replace
 from random import Random
@@ -88,9 +88,11 @@
     assert state.endpoint_state(ENGINE) is not endpoint_state
     assert START_S - 0.1 < cold_for_s(state, ENGINE, now) <= START_S
     state.apply_report(ENGINE, EngineReport({"m": 9}, born=1_000), now)
-    assert state.version_of(ENGINE, "m") == 1, "a report of the last life"
+    assert state.version_of(ENGINE, "m") == 1, "a report of the previous incarnation must be ignored"
     apply_list(state, replace(ENGINE, sequence=6))
-    assert cold_for_s(state, ENGINE, monotonic()) > 0, "an entry of the last life"
+    assert cold_for_s(state, ENGINE, monotonic()) > 0, (
+        "an entry of the previous incarnation must not end the cold phase"
+    )
     apply_list(state, replace(ENGINE, born=2_000, sequence=3))
     assert cold_for_s(state, ENGINE, monotonic()) == 0
 
@@ -160,9 +162,7 @@
     assert 0 < wait_s(state, ENGINE, now, CHANCE) < 1 / LIMIT.per_s * 2
     retry_times = [reply.come_back_s for reply in replies if not reply.endpoint]
     assert 0 < retry_times[0] < 1 / LIMIT.per_s * 2 and max(retry_times) <= MAX_COLD_RETRY_S
-    assert retry_times == sorted(retry_times) and len(set(retry_times)) > 10, (
-        "one after the other, not all at once"
-    )
+    assert retry_times == sorted(retry_times) and len(set(retry_times)) > 10, "retries must be staggered"
     apply_list(state, replace(ENGINE, sequence=6))
     assert (
         placed_endpoint(local_router, "warm") == "e"
@@ -228,7 +228,11 @@
     for router in state.routers:
         state.settings = replace(state.settings, id=router.id, data_hall=router.data_hall)
         owned[router.data_hall] = LocalRouter(state, CHANCE)._engines()
-    assert owned["a"] == {f"e-a-{n}" for n in range(8)}, "watched on, for when the hall returns"
+    assert owned["a"] == {f"e-a-{n}" for n in range(8)}, (
+        "a router in an evacuated hall keeps following its engines"
+    )
     assert owned["b"] | owned["c"] == {item.id for item in engines if item.data_hall != "a"}
     apply_operator_changes(state, 11, evacuated=("b", "c"))
-    assert len(state.placing_routers()) == 1, "someone is to be asked, also where nothing may be sent"
+    assert len(state.placing_routers()) == 1, (
+        "one router must remain to be asked when all halls are evacuated"
+    )
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Following both views with one question: what is passed on is never taken for younger than it is."""
+"""One long poll of a router follows both views, and a forwarded view is never taken for newer than it is."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
 
 
 class StubRouter:
-    """A router that holds each question for a while; it is also the channel to it."""
+    """Stub of a router that holds each long poll, and of the client that calls it."""
 
     def __init__(self, age_s: float = AGE_S, held_s: float = LONG_POLL_S) -> None:
         self.age_s = age_s
@@ -57,7 +57,7 @@
 
 
 class TableService:
-    """What is asked where no router's view may be used. wait_s: how long it holds a question."""
+    """Stub of the table service, which is asked where no router's view may be used. wait_s: its long poll."""
 
     wait_s = 0.0
 
@@ -121,8 +121,8 @@
 
 
 def test_news_for_one_view_that_nobody_takes_does_not_make_the_other_one_ask_again_and_again():
-    """The router's list is too old to use: its questions are answered at once, and the list is asked for at
-    the table service meanwhile. The configuration goes on being followed by held questions."""
+    """The router's list is too old, so that its long polls return at once. The configuration must still be
+    followed by long polls, without a busy loop."""
 
     async def scenario():
         router = StubRouter(age_s=10.0)
@@ -140,8 +140,7 @@
 
 
 def test_boxes_behind_a_router_do_not_read_the_list_again_and_again_while_an_endpoint_is_missing():
-    """Its entry is gone without a word. The routers look for its return; with all boxes asking them for the
-    whole list without a pause, they had no time for anything else."""
+    """Guards against boxes that read the whole list from routers in a busy loop until the entry returns."""
 
     async def scenario():
         state = box_state()
@@ -152,7 +151,7 @@
         asked = router.asked
         await asyncio.sleep(0.6)
         assert router.asked - asked <= 4
-        # It is back: the held question tells.
+        # The pending long poll returns the entry that is back.
         router.lists.append((vanishing, other))
         await eventually(lambda: not state.fleet.missing_since_by_id and len(state.fleet.live()) == 2, 2.0)
         following.cancel()
@@ -161,7 +160,7 @@
 
 
 class RouterListFeed:
-    """A list that a router passes on: each of `lists` is told once, and questions are held besides."""
+    """Stub feed of a router's list: returns each of `lists` once, and otherwise holds the long poll."""
 
     def __init__(self, state: BoxState, lists: list[tuple[Endpoint, ...]]) -> None:
         self.state = state
--- a/tests/test_statement_soak.py
+++ b/tests/test_statement_soak.py
@@ -1,5 +1,4 @@
-"""A short soak of several boxes before endpoints that name limits, leave, or ask for rest; by hand it is
-played for longer."""
+"""A short soak of several boxes whose endpoints state limits, leave, or ask for back-off."""
 
 import asyncio
 
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -1,13 +1,7 @@
-"""Endpoints say that they leave, or ask a box for rest, in their answers alone.
+"""Endpoints state in their answers that they leave, or ask a box to back off.
 
-Seen on seven boxes: while the table service acknowledged nothing, an engine said that it was leaving, and got
-prompts more than two seconds after boxes had passed such answers on; on six boxes engines that turned
-requests away and asked a box for three seconds of rest got up to seven more from it in that time. Boxes read
-no more than that a request had been turned away, and forgot that after a quarter of a second: lines about
-both show that boxes had heard, and sent on, by themselves and where a router placed for them that was never
-told.
-
-What a box does is seen at stand-ins of the endpoints and in its log; the boxes are real processes.
+Guards against boxes that still send, on their own or by a router that was not told. Boxes are real processes,
+before stand-ins of the endpoints.
 """
 
 import asyncio
@@ -20,20 +14,19 @@
 from tests.test_limits import loop_time, refused_with_retry_after, send_load, single_box
 
 DRAIN_S = 2.0
-"""Seconds after an answer says that an endpoint leaves from which it gets nothing from who passed it on."""
+"""Seconds after an answer states that its endpoint leaves from which the box that got it sends nothing."""
 
 BACKOFF_REACTION_S, MAX_DURING_BACKOFF = 0.5, 2
-"""From so many seconds after an endpoint asked for rest until that is over it gets at most so many requests
-from the box that it asked."""
+"""From BACKOFF_REACTION_S after a request for back-off until its end, the box sends at most that many."""
 
 
 def sending_box(call_id: str) -> str:
-    """Return the box that a call of these tests was sent to."""
+    """Return the box that a call was sent to, the first word of its id."""
     return call_id.partition(" ")[0]
 
 
 def requests_after_leaving(endpoint: Endpoint) -> list[str]:
-    """Return the requests that came too late after an answer had told their box that the endpoint leaves."""
+    """Return the requests from boxes that knew for more than DRAIN_S that the endpoint leaves."""
     told_at_by_box: dict[str, float] = {}
     for at, call_id in endpoint.told_leaving:
         told_at_by_box.setdefault(sending_box(call_id), at)
@@ -46,7 +39,7 @@
 
 
 def max_during_backoff(endpoint: Endpoint, rest_s: float) -> int:
-    """Return the most requests that a box sent while an endpoint had asked it for rest."""
+    """Return the most requests that a box sent during a back-off the endpoint had asked it for."""
     counts = [
         sum(
             sending_box(sent) == sending_box(asked) and asked_at + BACKOFF_REACTION_S < at < asked_at + rest_s
@@ -145,7 +138,7 @@
             assert overloaded.rested and max_during_backoff(overloaded, 3.0) <= MAX_DURING_BACKOFF
             turned_away = {call_id for _, call_id, _ in overloaded.rested}
             failed = {f"{n % 2} {n}" for n, answer in enumerate(answers) if answer.status != 200}
-            assert failed <= turned_away, "only those may fail that no budget lets be sent again"
+            assert failed <= turned_away, "only requests that the endpoint turned away may fail"
 
     asyncio.run(scenario())
 
@@ -165,7 +158,7 @@
             assert min(retry_times) >= 2.4 - (loop_time() - started_at) and len(set(retry_times)) >= 20
             for endpoint in here.endpoints:
                 assert max_during_backoff(endpoint, 2.5) <= MAX_DURING_BACKOFF
-            # All callers come back at the very end of the rest, before one is answered.
+            # All callers retry right after the back-off, before the first of them is answered.
             await asyncio.sleep(started_at + 2.6 - loop_time())
             for endpoint in here.endpoints:
                 endpoint.refuse_s = 0.2
--- a/tests/test_statements_held.py
+++ b/tests/test_statements_held.py
@@ -1,7 +1,6 @@
-"""What a box holds of what endpoints said: for how long, for which life, and that each decision asks it.
+"""How long a box keeps feedback of an endpoint, for which incarnation, and that each decision respects it.
 
-The decisions alone, without processes: what tests with real boxes cannot time, as an entry that lapses, a
-rest that ends, news that comes between a choice and its sending.
+Without processes, for timing that tests with real boxes cannot control.
 """
 
 import asyncio
@@ -31,7 +30,7 @@
 
 
 def receive_feedback(state: BoxState, feedback: Feedback, ago_s: float = 0.0) -> None:
-    """Take in an answer that came so long ago, to a request sent right before."""
+    """Apply the feedback of an answer received ago_s seconds ago."""
     at = monotonic() - ago_s
     apply_feedback(state, PLAIN, state.endpoint_state(PLAIN), feedback, at, at)
 
@@ -51,7 +50,7 @@
 
 
 def remove_and_restore_entry(state: BoxState) -> None:
-    """Have the endpoint's entry vanish for longer than it is a last resort, and stand again as ready."""
+    """Remove the endpoint's entry for longer than the grace period, then list it as ready again."""
     apply_endpoints(state, EndpointChanges(2, True, (PLAIN,)), monotonic() - 100)
     apply_endpoints(state, EndpointChanges(3, True, ()), monotonic())
     assert not state.fleet.by_id
@@ -104,7 +103,7 @@
 
 
 def test_a_life_that_was_only_reported_yet_is_not_told_to_be_leaving_as_the_last_one_is():
-    """Its entry is that of the last life still, which said that it leaves. Found by the soak, seed 5."""
+    """Its entry still describes the previous incarnation, which stated that it leaves."""
     state, other = state_with_endpoint(), state_with_endpoint()
     apply_endpoints(state, EndpointChanges(2, True, (incarnation(1_000),)), monotonic())
     receive_feedback(state, Feedback(leaving=True))
@@ -115,7 +114,7 @@
 
 
 class FeedbackDuringConnect:
-    """Ports of a request that learns, while its connection opens, what its endpoint said of its use."""
+    """Stub ports where feedback of the endpoint arrives while a request's connection opens."""
 
     def __init__(self, state: BoxState, feedback: Feedback) -> None:
         self.state, self.feedback = state, feedback
--- a/tests/test_statements_read.py
+++ b/tests/test_statements_read.py
@@ -1,4 +1,4 @@
-"""What an answer's head says of its endpoint's use: how it is read, and how long a rest lasts."""
+"""Feedback in the headers of an endpoint's answers: how it is parsed, and how long a back-off lasts."""
 
 from datetime import UTC, datetime, timedelta
 from email.utils import format_datetime
--- a/tests/test_waking.py
+++ b/tests/test_waking.py
@@ -1,4 +1,4 @@
-"""Waking on a change: nobody misses one, and nobody waits longer than told."""
+"""Notification of changes: no waiter misses one, and none waits past its timeout."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 from tests.states import box_state
 
 MAX_DELAY_S = 1.0
-"""Seconds in which what an event brings about has to be there, also on a busy machine."""
+"""Longest time in seconds until an event takes effect, on a busy machine."""
 
 
 def test_all_who_wait_are_woken_and_conditions_are_looked_at_again():
@@ -61,7 +61,7 @@
 
 
 class StubRouterClients:
-    """Stands for the channels to routers: notes what they are told. `silent`: addresses without answer."""
+    """Stub clients of routers that record notices. silent: addresses that do not answer."""
 
     def __init__(self, state: BoxState) -> None:
         self.router_clients = RouterClients(state)
@@ -128,7 +128,7 @@
         reply = await asyncio.wait_for(pending, MAX_DELAY_S)
         assert reply.changes.versions_by_model == {"m": 2} and reply.held_s >= 0.04
 
-        # Nothing new comes: the answer is given when the view becomes too old to pass on.
+        # Without changes, the reply comes when the view becomes too old to forward.
         valid_for_s = state.view_valid_for_s(state.view_age())
         began = monotonic()
         reply = await local_router._on_operators(OperatorsRequest(2, 5.0))
