--- a/tests/loads/test_hall_returns_cold.py
+++ b/tests/loads/test_hall_returns_cold.py
@@ -38,13 +38,13 @@
     return sends
 
 
-def standalone_box(boxes: int, chance: Random, share: float = COLD_SHARES.standalone) -> Sender:
+def standalone_box(boxes: int, random: Random, share: float = COLD_SHARES.standalone) -> Sender:
     """A box that reaches no router and always has a prompt for the engine."""
     current: list[Pacer | None] = [None]
     per_s = COLD_LIMIT_PER_S * share / boxes
 
     def sends(now: float) -> bool:
-        pacer = current[0] = standalone_pacer(current[0], now, per_s, chance)
+        pacer = current[0] = standalone_pacer(current[0], now, per_s, random)
         if pacer.wait_s(now, per_s) > 0:
             return False
         pacer.take(now, per_s)
@@ -82,8 +82,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_router_beside_boxes_that_find_none_stays_below_what_fells_an_engine(seed):
-    chance = Random(seed)
-    senders = [router(), *(standalone_box(BOXES, chance) for _ in range(BOXES))]
+    random = Random(seed)
+    senders = [router(), *(standalone_box(BOXES, random) for _ in range(BOXES))]
     assert busiest_second(senders) < OVERLOAD_REQUESTS
 
 
@@ -94,10 +94,10 @@
 
 @pytest.mark.parametrize("boxes", (6, 71, 195, 330))
 def test_boxes_without_any_router_do_not_send_in_the_same_second(boxes):
-    chance = Random(boxes)
-    assert busiest_second([standalone_box(boxes, chance) for _ in range(boxes)]) < OVERLOAD_REQUESTS / 2
+    random = Random(boxes)
+    assert busiest_second([standalone_box(boxes, random) for _ in range(boxes)]) < OVERLOAD_REQUESTS / 2
     assert (
-        busiest_second([standalone_box(boxes, chance, COLD_SHARES.unrouted) for _ in range(boxes)])
+        busiest_second([standalone_box(boxes, random, COLD_SHARES.unrouted) for _ in range(boxes)])
         < OVERLOAD_REQUESTS
     )
 
--- a/tests/loads/test_limits_of_endpoints.py
+++ b/tests/loads/test_limits_of_endpoints.py
@@ -30,7 +30,7 @@
 RESPONSE_TIME_S = 0.1
 GOSSIP_INTERVAL_S = 0.5
 REACTION_S = 0.5
-PROPAGATION_S = 3.0
+MAX_PROPAGATION_S = 3.0
 WINDOW_S = 4.0
 LIMIT_STARTS_AT = 20.0
 
@@ -86,16 +86,16 @@
     informed_at_by_box: dict[int, float] = field(default_factory=dict)
 
     def run(self, until: float = ENDS_AT) -> "Simulation":
-        chance, sequence = Random(self.seed), count()
+        random, sequence = Random(self.seed), count()
         queue: list[tuple[float, int, Callable[[float], None]]] = []
 
         def schedule(at: float, callback: Callable[[float], None]) -> None:
             heappush(queue, (at, next(sequence), callback))
 
         def send_request(now: float) -> None:
-            schedule(now + chance.expovariate(OFFERED_PER_S), send_request)
-            box = chance.randrange(len(self.boxes))
-            if self._try_send(box, now, chance):
+            schedule(now + random.expovariate(OFFERED_PER_S), send_request)
+            box = random.randrange(len(self.boxes))
+            if self._try_send(box, now, random):
                 schedule(now + NETWORK_LATENCY_S, lambda at: self.arrived.append((at, box)))
                 response_sent_at = now + NETWORK_LATENCY_S + RESPONSE_TIME_S * 0.9
                 schedule(
@@ -117,7 +117,7 @@
             callback(at)
         return self
 
-    def _try_send(self, box: int, now: float, chance: Random) -> bool:
+    def _try_send(self, box: int, now: float, random: Random) -> bool:
         state, router = self.boxes[box], self.router_of(box, now)
         if router is not None and self.endpoint is ENGINE:
             router_state = self.routers[router]
@@ -125,14 +125,14 @@
                 router_state.endpoint_state(self.endpoint)
             ):
                 apply_peer_feedback(router_state, feedback_for_peers(state, now), now)
-            if self._send_if_allowed(router_state, now, chance):
+            if self._send_if_allowed(router_state, now, random):
                 return True
-        return self._send_if_allowed(state, now, chance)
+        return self._send_if_allowed(state, now, random)
 
-    def _send_if_allowed(self, state: BoxState, now: float, chance: Random) -> bool:
-        if wait_s(state, self.endpoint, now, chance) > 0:
+    def _send_if_allowed(self, state: BoxState, now: float, random: Random) -> bool:
+        if wait_s(state, self.endpoint, now, random) > 0:
             return False
-        count_sent(state, self.endpoint, now, chance)
+        count_sent(state, self.endpoint, now, random)
         return True
 
     def _on_response(self, box: int, sent_at: float, now: float, per_s: float) -> None:
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize("per_s", LIMITS)
 def test_a_router_gives_an_engine_most_of_its_limit_and_never_more_than_it_bears(boxes, per_s):
     simulation = routed_simulation(boxes, constant_limit(per_s)).run()
-    assert max(simulation.window_counts(LIMIT_STARTS_AT + PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
+    assert max(simulation.window_counts(LIMIT_STARTS_AT + MAX_PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
     assert simulation.rate(LIMIT_STARTS_AT + 5, ENDS_AT) >= MIN_UTILIZATION * per_s
 
 
@@ -205,7 +205,9 @@
         simulation = Simulation(
             endpoint, constant_limit(per_s), make_fleet(boxes), [], lambda box, now: None
         ).run()
-        assert max(simulation.window_counts(LIMIT_STARTS_AT + PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
+        assert max(simulation.window_counts(LIMIT_STARTS_AT + MAX_PROPAGATION_S, ENDS_AT)) <= max_in_window(
+            per_s
+        )
 
 
 @pytest.mark.parametrize("boxes", FLEET_SIZES)
@@ -214,7 +216,7 @@
     simulation = Simulation(
         PLAIN, constant_limit(per_s), make_fleet(boxes), make_fleet(2), lambda box, now: box % 2
     ).run(90.0)
-    assert max(simulation.window_counts(LIMIT_STARTS_AT + PROPAGATION_S, 90.0)) <= max_in_window(per_s)
+    assert max(simulation.window_counts(LIMIT_STARTS_AT + MAX_PROPAGATION_S, 90.0)) <= max_in_window(per_s)
     assert simulation.rate(LIMIT_STARTS_AT + 5, 90.0) >= MIN_UTILIZATION * per_s
 
 
@@ -227,7 +229,7 @@
     )
     assign_engine(simulation.routers[1])
     simulation.run()
-    assert max(simulation.window_counts(LIMIT_STARTS_AT + PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
+    assert max(simulation.window_counts(LIMIT_STARTS_AT + MAX_PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
 
 
 @pytest.mark.parametrize("boxes", FLEET_SIZES)
@@ -238,7 +240,7 @@
     )
     assign_engine(simulation.routers[1])
     simulation.run()
-    assert max(simulation.window_counts(LIMIT_STARTS_AT + PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
+    assert max(simulation.window_counts(LIMIT_STARTS_AT + MAX_PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
     assert simulation.rate(restarted_at + 1, ENDS_AT) >= MIN_UTILIZATION * per_s
 
 
@@ -247,7 +249,7 @@
     per_s = 9.0
     members = [*make_fleet(boxes), *(make_box(f"new-{number}", boxes) for number in range(boxes * 3 // 4))]
     simulation = Simulation(PLAIN, constant_limit(per_s), members, [], lambda box, now: None).run()
-    assert max(simulation.window_counts(LIMIT_STARTS_AT + PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
+    assert max(simulation.window_counts(LIMIT_STARTS_AT + MAX_PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
 
 
 def test_boxes_that_have_just_started_and_know_no_others_stay_below_it():
@@ -255,7 +257,7 @@
     for state in members:
         state.boxes, state.boxes_known_at = (state.settings.id,), float("-inf")
     simulation = Simulation(PLAIN, constant_limit(per_s), members, [], lambda box, now: None).run()
-    assert max(simulation.window_counts(LIMIT_STARTS_AT + PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
+    assert max(simulation.window_counts(LIMIT_STARTS_AT + MAX_PROPAGATION_S, ENDS_AT)) <= max_in_window(per_s)
 
 
 @pytest.mark.parametrize("boxes", FLEET_SIZES)
@@ -264,8 +266,8 @@
         return UNLIMITED if now < LIMIT_STARTS_AT else 9.0 if now < 30 else 1.0 if now < 40 else 20.0
 
     simulation = routed_simulation(boxes, limit).run(55.0)
-    assert max(simulation.window_counts(LIMIT_STARTS_AT + PROPAGATION_S, 30)) <= max_in_window(9.0)
-    assert max(simulation.window_counts(30 + PROPAGATION_S, 40)) <= max_in_window(1.0)
+    assert max(simulation.window_counts(LIMIT_STARTS_AT + MAX_PROPAGATION_S, 30)) <= max_in_window(9.0)
+    assert max(simulation.window_counts(30 + MAX_PROPAGATION_S, 40)) <= max_in_window(1.0)
     assert max(simulation.window_counts(40, 55)) <= max_in_window(20.0)
     assert simulation.rate(45, 55) >= MIN_UTILIZATION * 20.0
 
@@ -274,7 +276,7 @@
 @pytest.mark.parametrize("per_s", (0.0, 0.01, 1.0))
 def test_the_end_of_a_limit_is_heard_of_by_all_also_where_the_endpoint_took_nothing(boxes, per_s):
     simulation = routed_simulation(boxes, constant_limit(per_s, until=40.0)).run(60.0)
-    assert max(simulation.window_counts(LIMIT_STARTS_AT + PROPAGATION_S, 40.0)) <= max_in_window(per_s)
+    assert max(simulation.window_counts(LIMIT_STARTS_AT + MAX_PROPAGATION_S, 40.0)) <= max_in_window(per_s)
     assert simulation.rate(50, 60) >= 0.9 * OFFERED_PER_S
     assert all(limit_of(state.endpoint_state(ENGINE)) == UNLIMITED for state in simulation.boxes)
 
--- a/tests/loads/test_rests_that_end.py
+++ b/tests/loads/test_rests_that_end.py
@@ -48,12 +48,12 @@
 @pytest.mark.parametrize("boxes", FLEET_SIZES)
 @pytest.mark.parametrize(("slots", "work_s"), ENDPOINT_PROFILES)
 def test_boxes_that_were_asked_for_rest_together_come_back_as_the_endpoint_takes_them(boxes, slots, work_s):
-    chance = Random(boxes)
+    random = Random(boxes)
     endpoint = Endpoint("e", "plain", "10.0.1.1:1", "hall-a", slots)
     times = []
     for number in range(boxes):
         state = make_box(number, boxes, endpoint, work_s)
-        asked_at = 100.0 + chance.random() * ASKED_WITHIN_S
+        asked_at = 100.0 + random.random() * ASKED_WITHIN_S
         resumed_at = resume_time(state, endpoint, asked_at)
         assert resumed_at >= asked_at + BACKOFF_S
         record_probe(state.endpoint_state(endpoint), resumed_at)
--- a/tests/soak_statements.py
+++ b/tests/soak_statements.py
@@ -20,7 +20,7 @@
 from tests.site import Site
 from tests.standins.dialect import Endpoint
 
-PROPAGATION_S, REACTION_S, WINDOW_S = 3.0, 0.5, 4.0
+MAX_PROPAGATION_S, REACTION_S, WINDOW_S = 3.0, 0.5, 4.0
 """As in tests.test_limits; REACTION_S: when a limit binds a box after the box got it."""
 
 RECOVERY_S = 3.0
@@ -48,7 +48,7 @@
         """Return the highest limit that applied at any time in a span."""
         following = [*(at for at, _ in self.limits[1:]), self.until]
         spans = zip(self.limits, following, strict=True)
-        return max(per_s for (at, per_s), ended in spans if at < end and ended + PROPAGATION_S > start)
+        return max(per_s for (at, per_s), ended in spans if at < end and ended + MAX_PROPAGATION_S > start)
 
 
 @dataclass
@@ -79,10 +79,10 @@
 class Soak:
     """Applies load, feedback and faults to the boxes, and checks what endpoints got."""
 
-    def __init__(self, boxes: list[Site], chance: Random, seconds: float) -> None:
+    def __init__(self, boxes: list[Site], random: Random, seconds: float) -> None:
         self.boxes = boxes
         self.table, self.endpoints = boxes[0].table, boxes[0].endpoints
-        self.chance = chance
+        self.random = random
         self.end = loop_time() + seconds
         self.outcome = Outcome()
         self.box_by_call: dict[str, str] = {}
@@ -127,13 +127,13 @@
         while self._running():
             number += 1
             self._start_task(self._request(number))
-            await asyncio.sleep(self.chance.expovariate(REQUESTS_PER_S))
+            await asyncio.sleep(self.random.expovariate(REQUESTS_PER_S))
 
     async def _request(self, number: int) -> None:
         """Send a request, and retry it once after Retry-After."""
-        plain = self.chance.random() < 0.4
+        plain = self.random.random() < 0.4
         for again in range(2):
-            box = self.chance.choice(self.boxes)
+            box = self.random.choice(self.boxes)
             call_id = f"call-{number}-{again}"
             self.box_by_call[call_id] = box.name
             path = "/plain/x" if plain else "/again/x"
@@ -161,28 +161,28 @@
     async def _vary_limits(self, endpoint: Endpoint) -> None:
         """Set, change and clear an endpoint's limit from time to time."""
         while self._running():
-            await asyncio.sleep(self.chance.uniform(2.0, 12.0))
-            for _ in range(self.chance.choice((1, 1, 2))):
-                self._set_limit(endpoint, self.chance.choice(LIMITS))
-                await asyncio.sleep(self.chance.uniform(8.0, 14.0))
+            await asyncio.sleep(self.random.uniform(2.0, 12.0))
+            for _ in range(self.random.choice((1, 1, 2))):
+                self._set_limit(endpoint, self.random.choice(LIMITS))
+                await asyncio.sleep(self.random.uniform(8.0, 14.0))
             self._set_limit(endpoint, None)
 
     async def _leave_and_restart(self, endpoint: Endpoint) -> None:
         """Make an endpoint leave and restart under its id from time to time. Its entry stays ready, lapses,
         or becomes draining late."""
-        chance = Random(self.chance.random())
+        random = Random(self.random.random())
         while self._running():
-            await asyncio.sleep(chance.uniform(5.0, 18.0))
+            await asyncio.sleep(random.uniform(5.0, 18.0))
             endpoint.leaving = "1"
-            await asyncio.sleep(chance.uniform(1.0, 3.0))
-            kind = chance.choice(("ready", "lapses", "draining"))
+            await asyncio.sleep(random.uniform(1.0, 3.0))
+            kind = random.choice(("ready", "lapses", "draining"))
             if kind == "lapses":
                 self.table.remove("servers", endpoint.id)
             elif kind == "draining":
                 self.table.put("servers", endpoint.id, endpoint.entry("draining"))
-            await asyncio.sleep(chance.uniform(2.0, 4.0))
+            await asyncio.sleep(random.uniform(2.0, 4.0))
             self.table.put("servers", endpoint.id, endpoint.entry())
-            await asyncio.sleep(chance.uniform(0.0, 3.0))
+            await asyncio.sleep(random.uniform(0.0, 3.0))
             endpoint.leaving = None
             endpoint.born += 1_000
             self.incarnations_started[endpoint.id].append(loop_time())
@@ -196,10 +196,10 @@
     async def _request_backoffs(self, endpoint: Endpoint) -> None:
         """Make an endpoint turn requests away from time to time, with Retry-After in seconds, as a date, or
         invalid."""
-        chance = Random(self.chance.random())
+        random = Random(self.random.random())
         while self._running():
-            await asyncio.sleep(chance.uniform(2.0, 12.0))
-            endpoint.rest = chance.choice(RETRY_AFTER_VALUES)
+            await asyncio.sleep(random.uniform(2.0, 12.0))
+            endpoint.rest = random.choice(RETRY_AFTER_VALUES)
             if endpoint.rest == "a date":
                 until = datetime.now(UTC).replace(microsecond=0) + timedelta(seconds=4)
                 endpoint.rest = format_datetime(until, usegmt=True)
@@ -207,20 +207,20 @@
                     loop_time() + (until - datetime.now(UTC)).total_seconds()
                 )
             endpoint.refuse = 100_000
-            await asyncio.sleep(chance.uniform(0.5, 4.0))
+            await asyncio.sleep(random.uniform(0.5, 4.0))
             endpoint.refuse = 0
 
     async def _limit_all(self) -> None:
         """Set limits on all endpoints at the same time, once."""
-        await asyncio.sleep(self.chance.uniform(5.0, 15.0))
+        await asyncio.sleep(self.random.uniform(5.0, 15.0))
         for endpoint in self.endpoints:
             if endpoint.limit is None:
-                self._set_limit(endpoint, self.chance.choice(LIMITS))
+                self._set_limit(endpoint, self.random.choice(LIMITS))
 
     async def _inject_faults(self) -> None:
         while self._running():
-            await asyncio.sleep(self.chance.uniform(2.0, 5.0))
-            box, kind = self.chance.choice(self.boxes), self.chance.random()
+            await asyncio.sleep(self.random.uniform(2.0, 5.0))
+            box, kind = self.random.choice(self.boxes), self.random.random()
             began = loop_time()
             if kind < 0.25:
                 self.table.down = True
@@ -234,7 +234,7 @@
                 await box.until_ready()
             else:
                 box.box.send_signal(signal.SIGSTOP)
-                await asyncio.sleep(self.chance.uniform(0.5, 3.0))
+                await asyncio.sleep(self.random.uniform(0.5, 3.0))
                 box.box.send_signal(signal.SIGCONT)
             self.downtimes[box.name].append((began, loop_time()))
 
@@ -321,7 +321,7 @@
             and self._informed_at(endpoint, period, box, at) + REACTION_S <= at
         ]
         for start in counted:
-            if start < limit_sent_at[0] + PROPAGATION_S or start + WINDOW_S > period.until:
+            if start < limit_sent_at[0] + MAX_PROPAGATION_S or start + WINDOW_S > period.until:
                 continue
             got = sum(start <= at < start + WINDOW_S for at in counted)
             limit = period.max_limit(start, start + WINDOW_S)
@@ -337,12 +337,12 @@
 
     def _describe_window(self, endpoint: Endpoint, limit: float, start: float) -> str:
         """Describe the requests of a window, by box, in seconds from its start."""
-        came = [
+        arrivals = [
             f"{self.box_by_call.get(call_id)} {at - start:.2f}"
             for at, call_id in endpoint.arrived
             if start <= at < start + WINDOW_S
         ]
-        return f"{endpoint.id}, limit {limit}, life {endpoint.born}: {', '.join(came)}"
+        return f"{endpoint.id}, limit {limit}, life {endpoint.born}: {', '.join(arrivals)}"
 
 
 async def soak(seed: int, seconds: float, boxes: int = 4) -> Outcome:
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -23,7 +23,7 @@
 PROMPT = PromptShape("m", (Part("aa", 500), Part("bb", 300)), 800, 20)
 CATALOG = Catalog(1, services_by_id={"llm": ServiceSpec("llm", 100, EngineSpec(8, 100_000, 100, 1e9))})
 
-CHANCE = Random(1)
+RANDOM = Random(1)
 
 
 def router_state(engines: int = 1) -> BoxState:
@@ -41,7 +41,7 @@
 
 def choose(state: BoxState, sender: str = "b-2") -> Choice:
     service = CATALOG.services_by_id["llm"]
-    choice = choose_endpoint(state, CATALOG, ChoiceRequest(service, PROMPT, sender=sender), CHANCE)
+    choice = choose_endpoint(state, CATALOG, ChoiceRequest(service, PROMPT, sender=sender), RANDOM)
     assert choice is not None
     return choice
 
@@ -111,7 +111,7 @@
     state = router_state(2)
     state.holdings.expect("10.0.1.0:1", "/m/0", "aa", 500)
     state.holdings.expect("10.0.1.0:1", "/m/0", "bb", 300)
-    local_router = LocalRouter(state, CHANCE)
+    local_router = LocalRouter(state, RANDOM)
     parts = (PromptPart("aa", 500), PromptPart("bb", 300))
     for number in range(3):
         local_router.place(PlaceRequest(f"t{number}", "b-2", "llm", "m", parts, 800, 20, "", ("e-1",)))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,7 +14,7 @@
 from tests.site import Answer, Site, configuration, eventually, site
 from tests.standins.dialect import Endpoint
 
-PROPAGATION_S = 3.0
+MAX_PROPAGATION_S = 3.0
 """Seconds after an endpoint first states a limit from which all boxes must keep to it."""
 
 WINDOW_S = 4.0
@@ -37,13 +37,13 @@
 
 def max_window_count(endpoint: Endpoint, limit_since: float) -> int:
     """Return the most requests that an endpoint got in a window once the limit binds."""
-    times = [at for at, _ in endpoint.arrived if at >= limit_since + PROPAGATION_S]
+    times = [at for at, _ in endpoint.arrived if at >= limit_since + MAX_PROPAGATION_S]
     return max((sum(at <= other < at + WINDOW_S for other in times) for at in times), default=0)
 
 
 def min_window_count(endpoint: Endpoint, limit_since: float, until: float) -> int:
     """Return the fewest requests that an endpoint got in a window once the limit binds."""
-    starts = [limit_since + PROPAGATION_S + step / 10 for step in range(200)]
+    starts = [limit_since + MAX_PROPAGATION_S + step / 10 for step in range(200)]
     return min(
         sum(start <= at < start + WINDOW_S for at, _ in endpoint.arrived)
         for start in starts
@@ -225,15 +225,15 @@
             async def second_knows() -> bool:
                 return known in await second.metrics()
 
-            await eventually(second_knows, PROPAGATION_S)
+            await eventually(second_knows, MAX_PROPAGATION_S)
             endpoint.limit = None
             await asyncio.sleep(1.0)
-            await eventually(lambda: ended_at(first, endpoint), PROPAGATION_S)
+            await eventually(lambda: ended_at(first, endpoint), MAX_PROPAGATION_S)
 
             async def second_has_no_limit() -> bool:
                 return known not in await second.metrics()
 
-            await eventually(second_has_no_limit, PROPAGATION_S)
+            await eventually(second_has_no_limit, MAX_PROPAGATION_S)
 
     async def ended_at(here: Site, endpoint: Endpoint) -> bool:
         await here.call("/plain/x", call_id="ended")
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -32,7 +32,7 @@
 SERVICE = ServiceSpec("llm", 100, EngineSpec(8, 100_000, 100, 1e9, ("m",)), LIMIT)
 CATALOG = Catalog(1, services_by_id={"llm": SERVICE})
 ENGINE = Endpoint("e", "llm", "10.0.1.1:1", "hall-a", 8, versions_by_model={"m": 1}, born=1_000, sequence=5)
-CHANCE = Random(1)
+RANDOM = Random(1)
 
 
 def state_with(*endpoints: Endpoint) -> BoxState:
@@ -121,7 +121,7 @@
 def test_what_ends_of_an_old_life_is_not_counted_off_the_new_one():
     state = state_with(ENGINE)
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
-    local_router = LocalRouter(state, CHANCE)
+    local_router = LocalRouter(state, RANDOM)
     assert placed_endpoint(local_router, "old") == "e"
     apply_list(state, replace(ENGINE, born=2_000, sequence=1))
     assert placed_endpoint(local_router, "new") == "e"
@@ -153,20 +153,20 @@
 def test_a_router_places_on_a_cold_engine_what_it_bears_and_then_nothing():
     state = state_with(replace(ENGINE, cold=True, cold_s=START_S))
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
-    local_router = LocalRouter(state, CHANCE)
+    local_router = LocalRouter(state, RANDOM)
     replies = [place_prompt(local_router, f"t{number}") for number in range(40)]
     placed = [reply.endpoint for reply in replies]
     assert 0 < placed.count("e") <= LIMIT.per_s
     assert placed[-1] == ""
     now = monotonic()
-    assert 0 < wait_s(state, ENGINE, now, CHANCE) < 1 / LIMIT.per_s * 2
+    assert 0 < wait_s(state, ENGINE, now, RANDOM) < 1 / LIMIT.per_s * 2
     retry_delays = [reply.come_back_s for reply in replies if not reply.endpoint]
     assert 0 < retry_delays[0] < 1 / LIMIT.per_s * 2 and max(retry_delays) <= MAX_COLD_RETRY_S
     assert retry_delays == sorted(retry_delays) and len(set(retry_delays)) > 10, "retries must be staggered"
     apply_list(state, replace(ENGINE, sequence=6))
     assert (
         placed_endpoint(local_router, "warm") == "e"
-        and retry_after_s(state, SERVICE.id, (), {}, monotonic(), CHANCE) is None
+        and retry_after_s(state, SERVICE.id, (), {}, monotonic(), RANDOM) is None
     )
 
 
@@ -197,7 +197,7 @@
     apply_operator_changes(state, 11, returned=("hall-a",))
     assert POST_EVACUATION_COLD_S - 0.1 < cold_for_s(state, ENGINE, monotonic()) <= POST_EVACUATION_COLD_S
     state.routers, state.routed_engines = (state.member,), frozenset({"e"})
-    local_router = LocalRouter(state, CHANCE)
+    local_router = LocalRouter(state, RANDOM)
     assert placed_endpoint(local_router, "back") == "e"
     apply_operator_changes(state, 12, evacuated=("hall-a",))
     assert placed_endpoint(local_router, "again") == ""
@@ -206,7 +206,7 @@
 def test_a_router_passes_on_which_halls_are_evacuated_and_how_long_engines_are_cold():
     state = state_with(replace(ENGINE, cold=True, cold_s=START_S))
     apply_operator_changes(state, 10, evacuated=("hall-a",))
-    local_router = LocalRouter(state, CHANCE)
+    local_router = LocalRouter(state, RANDOM)
     changes = local_router._operators_reply(OperatorsRequest(9, 0.0), monotonic()).changes
     assert changes.whole and changes.evacuated == ("hall-a",)
     state.endpoint_state(ENGINE).cold_until = monotonic() + 1.0
@@ -227,7 +227,7 @@
     owned = {}
     for router in state.routers:
         state.settings = replace(state.settings, id=router.id, data_hall=router.data_hall)
-        owned[router.data_hall] = LocalRouter(state, CHANCE)._engines()
+        owned[router.data_hall] = LocalRouter(state, RANDOM)._engines()
     assert owned["a"] == {f"e-a-{n}" for n in range(8)}, (
         "a router in an evacuated hall keeps following its engines"
     )
--- a/tests/test_statements_read.py
+++ b/tests/test_statements_read.py
@@ -78,9 +78,9 @@
 
 def test_of_several_statements_the_strictest_holds():
     limits = ("Server-Limit", "4"), ("Server-Limit", "2"), ("Server-Limit", "odd")
-    rests = ("Retry-After", "1"), ("Retry-After", "2.5"), ("Retry-After", "odd")
+    retry_afters = ("Retry-After", "1"), ("Retry-After", "2.5"), ("Retry-After", "odd")
     leaving = ("Server-Leaving", "odd"), ("Server-Leaving", "1")
-    assert feedback_of(503, *limits, *rests, *leaving) == Feedback(2.0, True, 2.5)
+    assert feedback_of(503, *limits, *retry_afters, *leaving) == Feedback(2.0, True, 2.5)
 
 
 @pytest.mark.parametrize("text", ["", "0", "yes", "true", "2", "11"])
@@ -94,7 +94,7 @@
 
 
 def test_after_a_rest_one_request_goes_and_others_wait_for_it():
-    rest = Backoff(until=10.0)
-    assert rest.wait_s(7.5) == 2.5 and rest.wait_s(10.0) == 0
+    backoff = Backoff(until=10.0)
+    assert backoff.wait_s(7.5) == 2.5 and backoff.wait_s(10.0) == 0
     assert Backoff(10.0, probed_at=10.0).wait_s(10.0) == PROBE_INTERVAL_S
     assert Backoff(10.0, probed_at=10.0).wait_s(10.0 + PROBE_INTERVAL_S) == 0
