--- a/stairquay/adapters/engine.py
+++ b/stairquay/adapters/engine.py
@@ -59,7 +59,7 @@
 class Order:
     """A fenced order, not to be carried out after `valid_until` (Unix seconds).
 
-    Engines that check fences refuse one below the highest that they have seen.
+    Engines that check fences refuse an order whose fence is below the highest that they have seen.
     """
 
     kind: OrderKind
@@ -70,7 +70,7 @@
 
 
 class OrderOutcome(str, Enum):
-    """Result of sending an order; `UNKNOWN` if no answer arrived."""
+    """Result of sending an order: `FENCED` if it was refused, `UNKNOWN` if no answer arrived."""
 
     ACCEPTED = "accepted"
     FENCED = "fenced"
--- a/stairquay/adapters/follower.py
+++ b/stairquay/adapters/follower.py
@@ -97,7 +97,7 @@
 
 
 async def _run_round(one_round: RefreshRound, view: View, timeout_s: float) -> None:
-    """Run a round. A timeout or a cancellation inside the round does not end the refreshing."""
+    """Run a round; neither its timeout nor a cancellation inside it ends the refreshing."""
     limit = asyncio.timeout(timeout_s)
     try:
         async with limit:
--- a/stairquay/adapters/metrics.py
+++ b/stairquay/adapters/metrics.py
@@ -3,7 +3,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 MAX_LABELS = 1_000
-"""Distinct workspace and service labels; further ones become `other`."""
+"""Distinct workspace and route labels; further ones become `other`."""
 
 OTHER_LABEL = "other"
 
--- a/stairquay/adapters/ports.py
+++ b/stairquay/adapters/ports.py
@@ -17,10 +17,10 @@
     """Why a call to the platform failed."""
 
     UNREACHED = "unreached"
-    """The request was not delivered."""
+    """The call had no effect, for example since it was not delivered."""
 
     UNKNOWN = "unknown"
-    """The request may have taken effect."""
+    """The call may have taken effect."""
 
 
 @dataclass(frozen=True)
--- a/stairquay/adapters/settings.py
+++ b/stairquay/adapters/settings.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class TlsSettings:
-    """Paths of PEM files. With `authority`, the peer must present a certificate that it issued."""
+    """Paths of PEM files. With `authority`, peers must present a certificate issued by it."""
 
     certificate: str = ""
     key: str = ""
--- a/stairquay/adapters/store.py
+++ b/stairquay/adapters/store.py
@@ -67,7 +67,7 @@
 async def renew_manifest(
     session: ClientSession, address: str, segment: Segment, timeout_s: float
 ) -> Result[None, str]:
-    """Update a segment's worth and last use, unless its manifest was deleted."""
+    """Update a segment's return probability and time of use, unless its manifest was deleted."""
     url = f"http://{address}/manifests/{segment.name}"
     body = msgspec.json.encode(segment)
     return await _send(session, "PUT", url, body, timeout_s, {"If-Match": "*"})
--- a/stairquay/boxes.py
+++ b/stairquay/boxes.py
@@ -1,4 +1,4 @@
-"""Read-only status of a whole fleet: its boxes, who routes, and how old their views are.
+"""Read-only status of a whole fleet: its boxes, which of them are routers, and how old their views are.
 
 Combines the boxes' rows in the table service with their metrics.
 """
@@ -39,10 +39,9 @@
 class BoxStatus:
     """Status of one box, from its row and its metrics.
 
-    readable: whether this release can decode its row. view_age_s: age of its view, None if it did not answer.
-    evacuated: data halls to which it sends no requests. cold_s_by_endpoint: seconds for which it treats
-    endpoints as cold. limit_by_endpoint: rate limits of endpoints, in requests per second. leaving: endpoints
-    that are leaving. rest_s_by_endpoint: seconds of back-off left.
+    readable: this release can decode its row. view_age_s: None if it reports no age. evacuated: data halls
+    that get no requests. cold_s_by_endpoint: seconds left as cold. limit_by_endpoint: rate limits in requests
+    per second. rest_s_by_endpoint: seconds of backoff left.
     """
 
     member: Member
@@ -158,7 +157,7 @@
 
 
 def _backoff_lines(fleet: FleetStatus) -> list[str]:
-    """Return a line with the endpoints in back-off: the longest time left, and at how many boxes."""
+    """Return a line with the endpoints in backoff: the longest time left, and at how many boxes."""
     rests_s: dict[str, list[float]] = {}
     for box in fleet.boxes:
         for endpoint, rest_s in box.rest_s_by_endpoint.items():
--- a/stairquay/explain.py
+++ b/stairquay/explain.py
@@ -1,7 +1,7 @@
 """Explains one request from the logs of several boxes.
 
 The explanation lists the request's log lines, with the inputs of each decision and their ages, and the state
-changes of its boxes shortly before. Times are relative to the request's first line.
+changes of its boxes from shortly before to shortly after. Times are relative to the request's first line.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,10 +12,11 @@
 import msgspec
 
 LOOKBACK_S = 5.0
-"""State changes are listed from this long before a request's first line: the oldest view that a box uses."""
+"""State changes are listed from this long before a request's first line. By default, requests with a key are
+refused on an older view."""
 
 CLOCK_SKEW_S = 1.0
-"""State changes are listed until this long after its last line, since clocks of boxes differ."""
+"""State changes are listed until this long after a request's last line, since clocks of boxes differ."""
 
 STATE_KINDS = frozenset(
     (
--- a/stairquay/operators.py
+++ b/stairquay/operators.py
@@ -1,4 +1,4 @@
-"""Client of the control's intent API, and its replies formatted as text."""
+"""Client of the control program's operator API, and its replies formatted as text."""
 
 import asyncio
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class ControlReply:
-    """HTTP status and JSON body of a control's reply; status 0 if there was none."""
+    """HTTP status and JSON body of a control program's reply; status 0 if there was none."""
 
     status: int
     body: dict[str, Any]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class ControlServer:
-    """URL of a control, and the operator's key."""
+    """URL of a control program, and the operator's key."""
 
     url: str
     key: str
@@ -36,7 +36,7 @@
 async def call_control(
     server: ControlServer, method: str, path: str, body: bytes | None = None
 ) -> ControlReply:
-    """Call the intent API, without retries."""
+    """Call the operator API, without retries."""
     headers = {"Authorization": f"Bearer {server.key}"}
     timeout = ClientTimeout(total=CALL_TIMEOUT_S)
     try:
