--- a/stairquay/control/leader.py
+++ b/stairquay/control/leader.py
@@ -16,7 +16,7 @@
 
 LEASE_KEY = "lease/control"
 RENEWALS_PER_HALF_LEASE = 4
-"""Rounds in half a lease, which is less than the share in which its holder may act."""
+"""Renewals in half a lease's duration; its holder may act for longer, `HOLDER_SHARE` of the duration."""
 
 
 class Leader:
--- a/stairquay/control/plans.py
+++ b/stairquay/control/plans.py
@@ -124,7 +124,7 @@
     async def _resolve_conflict(
         self, plan_id: str, conflict: Conflict
     ) -> Result[ConfirmedPlan | StalePlan, Refusal]:
-        """Return whether another call has confirmed the plan, or the plan is stale."""
+        """Return the plan as confirmed if another call did so, else as stale."""
         for row in conflict.rows:
             if row.key == _plan_key(plan_id) and row.value is not None:
                 plan = msgspec.json.decode(row.value, type=Plan)
--- a/stairquay/control/status.py
+++ b/stairquay/control/status.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class EndpointView:
-    """Status of one endpoint by its newest report; `wanted` is the version of its placement."""
+    """Status of one endpoint by its newest report; `wanted` is the target version of its placement."""
 
     id: str
     service: str
