--- a/stairquay/entry/attempts.py
+++ b/stairquay/entry/attempts.py
@@ -62,7 +62,7 @@
 
 
 Relay = Callable[[StartedAttempt], Awaitable[Result[web.StreamResponse, Failure]]]
-"""Relays a response to the client; a failure has `partial_response` if bytes were sent."""
+"""Relays a response to the client; a failure has `partial_response` if that response was started."""
 
 
 Cancel = Callable[[Target, str], Coroutine[Any, Any, None]]
@@ -88,7 +88,7 @@
 
 
 class Runner:
-    """Runs requests."""
+    """Runs each request until an attempt succeeds or no retry is allowed."""
 
     def __init__(self, context: EntryContext, routes: RouteClient) -> None:
         self.context = context
--- a/stairquay/entry/marks.py
+++ b/stairquay/entry/marks.py
@@ -59,7 +59,7 @@
 def claim_request(
     request: web.Request, options: RequestOptions, body: bytes | AsyncIterator[bytes]
 ) -> ClaimRequest | None:
-    """Return the claim that a request needs; with a key, the body is always buffered."""
+    """Return the claim that a request needs, None without a key. With a key, the body is buffered."""
     if not options.key or not isinstance(body, bytes):
         return None
     return ClaimRequest(options.key, hash_request(request.method, request.path_qs, body))
--- a/stairquay/entry/relay.py
+++ b/stairquay/entry/relay.py
@@ -55,7 +55,7 @@
 
 @dataclass
 class Progress:
-    """Bytes of a response read so far, and the last of them."""
+    """Number of response bytes read so far, and the last few of them."""
 
     offset: int = 0
     tail: bytes = b""
--- a/stairquay/entry/targets.py
+++ b/stairquay/entry/targets.py
@@ -49,7 +49,7 @@
 
 @dataclass
 class Suspects:
-    """Routers that did not answer, by address, until monotonic times."""
+    """Routers that did not answer: the monotonic time until which each is tried last, by address."""
 
     suspected_until: dict[str, float] = field(default_factory=dict)
 
@@ -130,7 +130,7 @@
         return max(0.0, min(self.context.settings.import_wait_s, deadline - monotonic()))
 
     async def _request_route(self, address: str, request: RouteRequest, deadline: float) -> RouteReply | None:
-        """Return a router's decision once its import is done, None without an answer."""
+        """Return a router's decision once its import has ended or timed out, None without an answer."""
         call = self.context.channels.stub(address).Route(request)
         try:
             async with asyncio.timeout(self.context.settings.route_timeout_s):
--- a/stairquay/entry/upstream.py
+++ b/stairquay/entry/upstream.py
@@ -59,7 +59,7 @@
     """Why an attempt failed.
 
     endpoint_fault: counts towards ejection and the retry budget; leaving: the endpoint is shutting down;
-    version: the endpoint's weight version, if it refused for another one;
+    version: the endpoint's weight version, if it refused a request for another;
     partial_response: the response that was interrupted after it had been started.
     """
 
