--- a/stairquay/router/importing.py
+++ b/stairquay/router/importing.py
@@ -27,7 +27,7 @@
 
 
 class Importer:
-    """Running imports by endpoint and block."""
+    """Starts imports, and keeps the running ones by endpoint and block."""
 
     def __init__(self, state: RouterState, session: ClientSession) -> None:
         self.state = state
--- a/stairquay/router/service.py
+++ b/stairquay/router/service.py
@@ -78,7 +78,7 @@
         return ReportReply()
 
     async def View(self, request: ViewRequest, context: Any) -> ViewReply:
-        """Return the rows and the box list that are newer than the caller's."""
+        """Return the rows and the box list that are newer than the follower's."""
         now = monotonic()
         key = (request.follower, request.role)
         self.followers[key] = Follower(*key, request.revision, request.list_as_of, now)
@@ -166,7 +166,7 @@
     def _start_run(
         self, service: Service, ticket: Ticket, decision: Decision
     ) -> tuple[RouteReply, ImportRequest | None]:
-        """Start the decision's import, if any, and return the reply with `ready` unset."""
+        """Start the decision's import, if any; return the reply, with `ready` unset, and the import."""
         box = self.state.view.membership.boxes.by_id[ticket.endpoint]
         address = box.addresses["http"]
         import_request = self._import_request(service, ticket, decision, address)
--- a/stairquay/router/state.py
+++ b/stairquay/router/state.py
@@ -141,7 +141,10 @@
 def find_candidates(
     state: RouterState, service: Service, prompt: Prompt, excluded: frozenset[str], now: float
 ) -> list[Candidate]:
-    """Return the endpoints that a prompt may run on; stale or excluded ones only if no other is left."""
+    """Return the endpoints that a prompt may run on.
+
+    Those with a stale report count only if all have one, and excluded ones only if no others remain.
+    """
     usable = [item.id for item in service.endpoints if state.view.membership.usable(item.id) is not None]
     reporting = [key for key in usable if now - state.load(key).received_at <= STALE_AFTER_S]
     pool = reporting or usable
