--- a/stairquay/platform/boot.py
+++ b/stairquay/platform/boot.py
@@ -13,11 +13,12 @@
 from stairquay.serving.settings import BoxSettings, FreshnessSettings, LeaseSettings
 
 KEYED_STALENESS_SHARE = 0.92
-"""Share of the time limit for key revocation after which requests with a key are refused; the rest covers
-the time from the check to the endpoint."""
+"""Age of the view at which requests with a key are refused, as a share of the time limit for key revocation.
+The rest covers the time from the check to the endpoint."""
 
 READY_STALENESS_SHARE = 0.5
-"""Share of that time limit after which the box reports unready. Past 0.6 it need not serve requests."""
+"""Age of the view at which the box reports unready, as a share of the same limit. Past 0.6, it need not serve
+requests."""
 
 HANDOVER_SLACK_S = 0.3
 """Seconds added between two holders of the lease, for orders still in transit."""
--- a/stairquay/platform/feeds.py
+++ b/stairquay/platform/feeds.py
@@ -1,6 +1,6 @@
 """Decodes what operators and endpoints write to the table service.
 
-Entries are not trusted to be valid: a malformed one is reported and skipped, and the others apply.
+A malformed row of operators changes nothing, and an endpoint with a malformed entry counts as removed.
 """
 
 from ipaddress import AddressValueError, IPv4Address
@@ -121,7 +121,7 @@
 
 
 class WireConfig(msgspec.Struct):
-    """The whole configuration. Without tenants, no request needs a key."""
+    """The whole configuration. If `tenants` is None, no request needs a key."""
 
     version: int
     routes: list[WireRoute] = []
@@ -140,7 +140,7 @@
 class WireEndpoint(msgspec.Struct):
     """An endpoint's entry in the list, under its id.
 
-    born: start in Unix milliseconds. sequence: rises with each entry of one start.
+    born: start in Unix milliseconds. sequence: rises with each entry of one incarnation.
     """
 
     service: str
@@ -186,7 +186,7 @@
 
 
 def operator_changes(rows: WireRows, whole: bool) -> OperatorChanges:
-    """Decode operators' rows; malformed ones are reported and change nothing.
+    """Decode operators' rows; malformed ones change nothing, and the last of them is reported.
 
     An evacuation takes effect whatever the value of its row. whole: rows holds the complete table.
     """
--- a/stairquay/platform/names.py
+++ b/stairquay/platform/names.py
@@ -7,7 +7,7 @@
 """Milliseconds until the deadline, not a point in time."""
 
 SIGNATURE = "Response-Signature"
-"""Marks a response as coming from an endpoint; a success without it is invalid."""
+"""Marks a response as coming from an endpoint; without it, only a refusal is valid."""
 
 NOT_RUN = "Not-Executed"
 LIMIT = "Server-Limit"
@@ -86,7 +86,7 @@
         "expect",
     )
 )
-"""Hop-by-hop headers, and those that the HTTP library sets itself."""
+"""Hop-by-hop headers, and others that are not forwarded as received."""
 
 READY_PATH = "/-/readyz"
 REPORT_PATH = "/-/report"
