--- a/stairquay/adapters/followers.py
+++ b/stairquay/adapters/followers.py
@@ -16,7 +16,10 @@
 def router_first_round(
     settings: ViewSettings, own: str, platform: HttpPlatform, channels: RouterChannels
 ) -> RefreshRound:
-    """Return a round that queries the own router, others, then the platform, until one has a fresh view."""
+    """Return a round that queries the box's own router, then others, then the platform.
+
+    It ends at the first of them that answers with a fresh view.
+    """
 
     def others(view: View) -> Sequence[str]:
         addresses = sorted(set(view.routers().values()) - {own}) or list(settings.seeds)
--- a/stairquay/router/state.py
+++ b/stairquay/router/state.py
@@ -35,7 +35,7 @@
     active_imports: int = 0
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until this router's imports have ended."""
+        """Return the estimated seconds until this router's imports have ended."""
         return max(0.0, self.busy_until - now)
 
     def bytes_per_s(self, default_bytes_per_s: float) -> float:
