--- a/stairquay/router/state.py
+++ b/stairquay/router/state.py
@@ -35,7 +35,7 @@
     active_imports: int = 0
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until this router's imports have ended."""
+        """Return the estimated seconds until this router's imports have ended."""
         return max(0.0, self.busy_until - now)
 
     def bytes_per_s(self, default_bytes_per_s: float) -> float:
@@ -141,7 +141,10 @@
 def find_candidates(
     state: RouterState, service: Service, prompt: Prompt, excluded: frozenset[str], now: float
 ) -> list[Candidate]:
-    """Return the endpoints that a prompt may run on; stale or excluded ones only if no other is left."""
+    """Return the endpoints that a prompt may run on.
+
+    Those with a stale report count only if all have one, and excluded ones only if no others remain.
+    """
     usable = [item.id for item in service.endpoints if state.view.membership.usable(item.id) is not None]
     reporting = [key for key in usable if now - state.load(key).received_at <= STALE_AFTER_S]
     pool = reporting or usable
