--- a/tests/ports.py
+++ b/tests/ports.py
@@ -15,7 +15,7 @@
 class PortSlot:
     """A range of ports that this process alone takes, as long as it holds the socket at its start."""
 
-    held: socket.socket
+    lock_socket: socket.socket
     ports: Iterator[int]
 
 
@@ -24,13 +24,13 @@
     bases = list(range(FIRST_PORT, LAST_PORT, SLOT_PORTS))
     random.shuffle(bases)
     for base in bases:
-        held = socket.socket()
+        lock_socket = socket.socket()
         try:
-            held.bind(("127.0.0.1", base))
+            lock_socket.bind(("127.0.0.1", base))
         except OSError:
-            held.close()
+            lock_socket.close()
             continue
-        return PortSlot(held, cycle(range(base + 1, base + SLOT_PORTS)))
+        return PortSlot(lock_socket, cycle(range(base + 1, base + SLOT_PORTS)))
     raise RuntimeError("no range of ports is free")
 
 
