--- a/tests/site.py
+++ b/tests/site.py
@@ -33,7 +33,7 @@
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
     took_s: float = 0.0
 
     @property
@@ -99,7 +99,7 @@
     peer_address: str = ""
     box: asyncio.subprocess.Process | None = None
     log_lines: list[dict[str, Any]] = field(default_factory=list)
-    reader: asyncio.Task[None] | None = None
+    log_reader: asyncio.Task[None] | None = None
     session: ClientSession | None = None
     bounds: dict[str, float] = field(default_factory=dict)
     limits: dict[str, int] = field(default_factory=dict)
@@ -131,7 +131,7 @@
             stdout=asyncio.subprocess.PIPE,
             limit=2**20,
         )
-        self.reader = asyncio.create_task(self._read_log(self.box))
+        self.log_reader = asyncio.create_task(self._read_log(self.box))
 
     def write_settings(self) -> Path:
         path = self.folder / "local.toml"
@@ -172,7 +172,7 @@
     async def until_ready(self) -> None:
         await eventually(self.is_ready, READY_S)
 
-    async def until_slack(self) -> None:
+    async def until_retry_budget_full(self) -> None:
         """Wait until the box may send requests again as often as it ever may: a window after its start."""
         await eventually(lambda: self.logged("router", outcome="picked"))
         await asyncio.sleep(self.bounds["budget_window_s"])
@@ -210,9 +210,9 @@
                 answer.headers = dict(response.headers)
                 async for chunk in response.content.iter_any():
                     answer.body += chunk
-                answer.whole = True
+                answer.complete = True
         except ClientError:
-            answer.whole = False
+            answer.complete = False
         answer.took_s = asyncio.get_running_loop().time() - started
         return answer
 
@@ -245,8 +245,8 @@
     async def close(self) -> None:
         if self.box is not None and self.box.returncode is None:
             await self.kill_box()
-        if self.reader is not None:
-            await self.reader
+        if self.log_reader is not None:
+            await self.log_reader
         if self.session is not None:
             await self.session.close()
         for part in (*self.endpoints, *self.stores, self.table):
@@ -254,7 +254,7 @@
                 await part.runner.cleanup()
 
 
-def name_version(here: Site, version: int) -> None:
+def set_target_version(here: Site, version: int) -> None:
     """Name new weights, as operators do."""
     here.table.put("op", f"version/{MODEL}", {"model": MODEL, "version": version})
 
@@ -265,14 +265,14 @@
     return [json.loads(text) for (_, key), (text, _) in rows if key.startswith("box/")]
 
 
-async def eventually(check: Any, limit_s: float = 10.0) -> None:
+async def eventually(check: Any, timeout_s: float = 10.0) -> None:
     """Wait until a check holds; it may be a plain function or a coroutine function."""
-    end = asyncio.get_running_loop().time() + limit_s
+    end = asyncio.get_running_loop().time() + timeout_s
     while True:
-        held = check()
-        if asyncio.iscoroutine(held):
-            held = await held
-        if held:
+        result = check()
+        if asyncio.iscoroutine(result):
+            result = await result
+        if result:
             return
         assert asyncio.get_running_loop().time() < end, "did not hold in time"
         await asyncio.sleep(0.03)
--- a/tests/test_box.py
+++ b/tests/test_box.py
@@ -60,7 +60,7 @@
 def test_a_request_that_may_repeat_is_sent_again_after_an_error_and_one_that_may_not_is_not():
     async def scenario():
         async with site(plain=2, budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             for endpoint in here.endpoints:
                 endpoint.errors = 1
             again = await here.call("/plain/x")
@@ -92,7 +92,7 @@
         async with site(plain=3, budget_slack=slack, budget_window_s=window_s) as here:
             for endpoint in here.endpoints:
                 endpoint.errors = 10_000
-            await here.until_slack()
+            await here.until_retry_budget_full()
             await call_until(here, asyncio.get_running_loop().time() + 1.0)
             assert sum(again for _, again in calls) >= slack // 2
             here.box.kill()
@@ -111,7 +111,7 @@
 def test_an_endpoint_that_turns_a_request_away_has_not_run_it():
     async def scenario():
         async with site(plain=2, budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             here.endpoints[0].refuse = here.endpoints[1].refuse = 1
             refused = await here.call("/once/x", "POST", body=b"x")
             assert refused.status == 503 and float(refused.headers["Retry-After"]) > 0
@@ -125,7 +125,7 @@
 def test_strange_and_unsigned_answers_are_not_passed_on():
     async def scenario():
         async with site(budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             here.endpoints[0].stray = 1
             assert (await here.call("/once/x", "POST", body=b"x")).status == 502
             here.endpoints[0].unsigned = 1
@@ -137,7 +137,7 @@
 def test_an_answer_without_length_that_is_reset_is_not_taken_for_whole():
     async def scenario():
         async with site(budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             here.endpoints[0].unframed_reset = 1
             answer = await here.call("/once/x", "POST", body=b"x")
             assert answer.status == 502
@@ -172,12 +172,12 @@
 def test_a_stream_passes_whole_and_a_broken_one_never_looks_complete():
     async def scenario():
         async with site(engines=1, budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             answer = await here.prompt()
-            assert answer.whole and answer.events == [1, 2, 3, 4, 5]
+            assert answer.complete and answer.events == [1, 2, 3, 4, 5]
             here.engines()[0].break_after = 2
             broken = await here.prompt()
-            assert not broken.whole and broken.events == [1, 2]
+            assert not broken.complete and broken.events == [1, 2]
 
     asyncio.run(scenario())
 
@@ -185,14 +185,14 @@
 def test_a_stream_that_may_go_on_does_so_at_another_engine_without_gap_or_repeat():
     async def scenario():
         async with site(engines=2, budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             for engine in here.engines():
                 engine.break_after = 3
             answer = await here.prompt("/again/chat")
             taken = [item for engine in here.engines() for item in engine.taken]
             assert len(taken) == 2
             assert sorted(item.headers.get("Last-Event-Id", "0") for item in taken) == ["0", "3"]
-            assert answer.whole and answer.events == [1, 2, 3, 4, 5]
+            assert answer.complete and answer.events == [1, 2, 3, 4, 5]
 
     asyncio.run(scenario())
 
@@ -283,7 +283,7 @@
 def test_an_error_in_place_of_the_rest_of_a_stream_never_gets_into_it():
     async def scenario():
         async with site(engines=2, budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             for engine in here.engines():
                 engine.break_after, engine.event_s = 3, 0.1
             call = asyncio.create_task(here.prompt("/again/chat"))
@@ -292,7 +292,7 @@
             other.errors = 1
             answer = await call
             assert len(other.taken) == 1
-            assert not answer.whole and answer.events == [1, 2, 3]
+            assert not answer.complete and answer.events == [1, 2, 3]
             assert b"broken" not in answer.body and b"HTTP/" not in answer.body
 
     asyncio.run(scenario())
--- a/tests/test_box_state.py
+++ b/tests/test_box_state.py
@@ -76,7 +76,7 @@
 def test_a_key_is_checked_again_before_a_request_is_sent_to_another_endpoint():
     async def scenario():
         async with site(plain=2, revoke_ms=1500, budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             for endpoint in here.endpoints:
                 endpoint.errors, endpoint.hold_s = 1, 2.0
             task = asyncio.create_task(here.call("/plain/x"))
@@ -275,7 +275,7 @@
 def test_each_kind_of_decision_leaves_its_line_with_what_decided_it():
     async def scenario():
         async with site(engines=1, stores=1, budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             await eventually(lambda: here.logged("store_view"))
             assert (await here.prompt(call_id="prompt-1")).status == 200
             here.endpoints[0].errors, here.endpoints[0].limit = 1, "50"
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -30,7 +30,7 @@
 async def armed(plain: int = 0, engines: int = 7, **bounds: float) -> AsyncIterator[Site]:
     """A box whose endpoints crash on one request, and which may send as often again as it ever may."""
     async with site(plain=plain, engines=engines, budget_window_s=1, **bounds) as here:
-        await here.until_slack()
+        await here.until_retry_budget_full()
         arm(here)
         yield here
 
@@ -98,7 +98,7 @@
 def test_another_box_sends_nothing_of_a_prompt_that_crashed_three_engines_at_this_one():
     async def scenario():
         async with two_boxes(engines=7, budget_window_s=1) as (first, second):
-            await first.until_slack()
+            await first.until_retry_budget_full()
             arm(first)
             await come(first, 2)
             assert crashed(first) == 3
@@ -197,7 +197,7 @@
 def test_resets_of_engines_that_go_on_count_for_nothing():
     async def scenario():
         async with site(plain=0, engines=6, budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             for endpoint in here.endpoints:
                 endpoint.break_after = 1
             for number in range(6):
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 
 from tests.many_boxes import two_boxes
-from tests.site import KEY, Site, configuration, eventually, name_version, site
+from tests.site import KEY, Site, configuration, eventually, set_target_version, site
 from tests.test_crashes import arm, come, crashed, known_everywhere
 
 KNOWN_S = 3.0
@@ -120,16 +120,16 @@
             for key in list(copy.rows_by_key):
                 if key[1].startswith("lease"):
                     del copy.rows_by_key[key]
-            name_version(first, 2)
+            set_target_version(first, 2)
             await eventually(lambda: engine.version == 2)
             leader = first if first.logged("lease", outcome="taken") else second
             await leader.kill_box()
             first.table.down = True
             await asyncio.sleep(AWAY_S)
             first.table.restore(copy)
-            name_version(first, 2)
+            set_target_version(first, 2)
             first.table.down = False
-            name_version(first, 3)
+            set_target_version(first, 3)
             await eventually(lambda: engine.version == 3, 15.0)
             fences = {order["holder"]: order["fencing_token"] for order in engine.orders}
             assert len(fences) == 2 and len(set(fences.values())) == 2
@@ -140,7 +140,7 @@
 def test_a_request_that_crashes_endpoints_stays_refused_at_all_boxes():
     async def scenario():
         async with two_boxes(plain=0, engines=7, budget_window_s=1) as (first, second):
-            await first.until_slack()
+            await first.until_retry_budget_full()
             arm(first)
             copy = first.table.copy()
             await come(first, 2)
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -21,7 +21,7 @@
 from stairquay.serving.orders import RolloutController
 from stairquay.serving.ports import EngineReport, OperatorChanges
 from stairquay.serving.state import BoxState
-from tests.site import box_rows, eventually, name_version, site
+from tests.site import box_rows, eventually, set_target_version, site
 from tests.standins.table import TableService, now_ms
 from tests.states import box_state
 
@@ -83,7 +83,7 @@
     async def scenario():
         async with site(plain=0, engines=1, version_ms=3000) as here:
             here.engines()[0].load_s = 60.0
-            name_version(here, 2)
+            set_target_version(here, 2)
             await eventually(
                 lambda: [named["version"] for row in box_rows(here) for named in row["named"]] == [2]
             )
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -7,7 +7,7 @@
 
 from stairquay.core.versions import MAX_RECORDS, VersionHistory
 from stairquay.serving.boxes import KEY_PREFIX
-from tests.site import box_rows, eventually, name_version, site
+from tests.site import box_rows, eventually, set_target_version, site
 
 LIMIT_MS = 1_500
 """Milliseconds after which nothing may begin on replaced weights, on the sites here."""
@@ -57,7 +57,7 @@
         async with site(plain=0, engines=1, version_ms=LIMIT_MS) as here:
             here.engines()[0].load_s = 60.0
             for version in (2, 3):
-                name_version(here, version)
+                set_target_version(here, version)
                 await eventually(lambda version=version: here.logged("version_named", version=version))
                 await asyncio.sleep(0.9)
             answer = await here.prompt()
@@ -70,7 +70,7 @@
     async def scenario():
         async with site(plain=0, engines=1, version_ms=20_000) as here:
             here.engines()[0].load_s = 60.0
-            name_version(here, 2)
+            set_target_version(here, 2)
             await eventually(lambda: here.logged("version_named", version=2, source="operators"))
             await asyncio.sleep(0.5)
             assert (await here.prompt()).status == 200
@@ -87,7 +87,7 @@
     async def scenario():
         async with site(plain=0, engines=1, version_ms=2 * LIMIT_MS) as here:
             here.engines()[0].load_s = 60.0
-            name_version(here, 2)
+            set_target_version(here, 2)
             await eventually(lambda: here.logged("version_named", version=2))
             await asyncio.sleep(1.0)
             await here.kill_box()
@@ -114,7 +114,7 @@
             # A box that is lost before it wrote its first row leaves no view behind.
             await eventually(lambda: box_rows(here) and box_rows(here)[0]["viewed_at_s"] is not None)
             await here.kill_box()
-            name_version(here, 2)
+            set_target_version(here, 2)
             named_at = asyncio.get_running_loop().time()
             await asyncio.sleep(2.2)
             await here.start_box()
@@ -136,7 +136,7 @@
             # From its second heartbeat on, a box pauses for four seconds.
             await eventually(lambda: box_rows(here) and box_rows(here)[0]["beat"] == 2)
             here.table.refused_by_prefix = {KEY_PREFIX: 1}
-            name_version(here, 2)
+            set_target_version(here, 2)
             await eventually(lambda: here.logged("version_named", version=2))
             await eventually(lambda: 2 in [named["version"] for named in box_rows(here)[0]["named"]], 1.5)
             assert here.table.refused_by_prefix == {KEY_PREFIX: 0}
@@ -149,7 +149,7 @@
         async with site(plain=0, engines=1) as here:
             here.engines()[0].load_s = 60.0
             here.table.refused_by_prefix = {KEY_PREFIX: 100}
-            name_version(here, 2)
+            set_target_version(here, 2)
             await eventually(lambda: here.logged("version_named", version=2))
             await asyncio.sleep(2.0)
             assert 1 <= 100 - here.table.refused_by_prefix[KEY_PREFIX] <= 5
