--- a/bench/cost.py
+++ b/bench/cost.py
@@ -26,7 +26,7 @@
 from stairquay.core.retention import TurnCounter
 from stairquay.core.routing import Candidate, Demand, choose
 from tests.launcher import Cluster, hash_key
-from tests.session import chat, expected_text, send_chat
+from tests.session import chat_body, expected_text, send_chat
 
 RESULT = Path(__file__).resolve().parent / "results" / "cost.json"
 IDLE_S = 5.0
@@ -60,7 +60,7 @@
 
             async def one(number: int) -> None:
                 text = words.text(f"{prompt_tokens} {number % 10}", prompt_tokens)
-                body = {**chat(text, True, answer_tokens), "model": HSITA.service}
+                body = {**chat_body(text, True, answer_tokens), "model": HSITA.service}
                 async with gate:
                     outcome = await send_chat(url, KEY, body)
                 assert outcome.status == 200 and outcome.text == expected_text(body, "v1"), outcome
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -115,7 +115,7 @@
 
 def row(name: str, outcomes: list[Outcome], moved: int) -> str:
     """Return a line of the table."""
-    times = [outcome.first_s for outcome in outcomes]
+    times = [outcome.first_byte_s for outcome in outcomes]
     tokens = sum(outcome.prompt_tokens for outcome in outcomes)
     share = 1 - sum(outcome.cached for outcome in outcomes) / tokens
     return (
--- a/features/environment.py
+++ b/features/environment.py
@@ -4,7 +4,7 @@
 from parse import with_pattern
 
 from tests.launcher import Cluster
-from tests.session import Loop
+from tests.session import EventLoopThread
 
 
 @with_pattern(r"[\w./-]+")
@@ -16,7 +16,7 @@
 
 
 def before_scenario(context, scenario):
-    context.loop = Loop()
+    context.loop = EventLoopThread()
     context.cluster = Cluster()
     if "callers" not in scenario.effective_tags:
         # Refusals under load are the callers' feature's matter; elsewhere a busy machine may be slow.
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -7,7 +7,7 @@
 from behave import step, then, when
 
 from tests.launcher import http
-from tests.session import all_runs, audit, chat, send_chat, send_plain
+from tests.session import all_runs, audit, chat_body, send_chat, send_plain
 
 LONG = 24_000
 """Characters of a long prompt: 6,000 tokens, 23 blocks."""
@@ -22,7 +22,7 @@
 
 
 def body_of(name, stream=True, tokens=8, tag="", turns=None):
-    return chat(long_prompt(name), stream, tokens, tag, turns)
+    return chat_body(long_prompt(name), stream, tokens, tag, turns)
 
 
 def note(context, outcome, name=""):
@@ -100,8 +100,8 @@
     if name in context.pending:
         note(context, context.pending.pop(name).result(40), name)
     outcome = context.named[name]
-    assert not outcome.whole and outcome.code, outcome
-    assert outcome.ran == ran, outcome
+    assert not outcome.complete and outcome.code, outcome
+    assert outcome.execution_status == ran, outcome
 
 
 @then("the answer is whole")
@@ -123,7 +123,7 @@
 @then("the refusal is {code:Name}, with the run {ran}")
 def _(context, code, ran):
     assert context.last.code == code, f"{context.last} {context.last.body[-400:]!r}"
-    assert context.last.ran == ran, context.last
+    assert context.last.execution_status == ran, context.last
 
 
 @then("the refusal tells when to come back")
@@ -264,13 +264,13 @@
 
 @then("every request of it was answered whole")
 def _(context):
-    bad = [item for item in context.outcomes if not (item.status == 200 and item.whole)]
+    bad = [item for item in context.outcomes if not (item.status == 200 and item.complete)]
     assert not bad, f"{len(bad)} of {len(context.outcomes)}: {bad[:3]}"
 
 
 @then("at least {share:g} of its requests were answered")
 def _(context, share):
-    good = sum(1 for item in context.outcomes if item.status == 200 and item.whole)
+    good = sum(1 for item in context.outcomes if item.status == 200 and item.complete)
     assert good >= share * len(context.outcomes), f"{good} of {len(context.outcomes)}"
 
 
--- a/features/steps/product.py
+++ b/features/steps/product.py
@@ -16,7 +16,7 @@
 from stairquay.environment import Environment
 from stairquay.status import ExitStatus
 from tests.launcher import OPERATOR_KEY, Answer, http
-from tests.session import LLM, chat, send_chat, send_plain
+from tests.session import LLM, chat_body, send_chat, send_plain
 
 from calls import entry_url, note  # isort: skip
 from system import workspace_intent  # isort: skip
@@ -165,7 +165,7 @@
 
 
 def short_call(context, workspace, name, tokens=4):
-    body = chat(name, True, tokens)
+    body = chat_body(name, True, tokens)
     return send_chat(entry_url(context, "box-1"), f"key-{workspace}", body)
 
 
@@ -180,7 +180,7 @@
 @when("blue's calm time to first token is measured")
 def _(context):
     calm = context.loop.run(blue_prompts(context, 15))
-    context.calm = sorted(item.first_s for item in calm)[-1]
+    context.calm = sorted(item.first_byte_s for item in calm)[-1]
 
 
 @when("red floods box-1 with {count:d} prompts while blue goes on")
@@ -194,7 +194,7 @@
 @then("blue's prompts are all answered, and none waits over {seconds:g} s")
 def _(context, seconds):
     assert all(item.answered for item in context.blue), context.blue
-    slowest = max(item.first_s for item in context.blue)
+    slowest = max(item.first_byte_s for item in context.blue)
     print(f"blue's slowest first token: calm {context.calm:.3f} s, under flood {slowest:.3f} s")
     assert slowest < seconds
 
@@ -204,9 +204,11 @@
     refused = [item for item in context.red if not item.answered]
     assert refused, "the flood was no flood"
     for item in refused:
-        assert item.ran == "not run" and item.retry_after and item.code in ("overloaded", "rate_limited"), (
-            item
-        )
+        assert (
+            item.execution_status == "not run"
+            and item.retry_after
+            and item.code in ("overloaded", "rate_limited")
+        ), item
 
 
 @when("the operator limits red to {rate:g} requests a second")
@@ -336,7 +338,7 @@
 
 @when("{workspace:Name} sends the prompt {name:Name} to {box:Name} over TLS")
 def _(context, workspace, name, box):
-    body = chat("over tls", True, 6)
+    body = chat_body("over tls", True, 6)
     url = f"https://127.0.0.1:{context.cluster.boxes[box].entry}"
     note(context, context.loop.run(send_chat(url, f"key-{workspace}", body, tls=context.cluster.tls)))
 
--- a/tests/session.py
+++ b/tests/session.py
@@ -14,7 +14,7 @@
 
 from tests.launcher import Cluster
 
-CALL_LIMIT_S = 40.0
+CALL_TIMEOUT_S = 40.0
 LLM = "llm"
 
 
@@ -25,14 +25,14 @@
     prompt: str
     status: int = 0
     text: str = ""
-    whole: bool = False
-    ran: str = ""
+    complete: bool = False
+    execution_status: str = ""
     code: str = ""
     request_id: str = ""
     retry_after: str = ""
     cached: int = 0
     prompt_tokens: int = 0
-    first_s: float = 0.0
+    first_byte_s: float = 0.0
     total_s: float = 0.0
     broken: bool = False
     body: bytes = b""
@@ -40,10 +40,10 @@
 
     @property
     def answered(self) -> bool:
-        return self.status == 200 and self.whole
+        return self.status == 200 and self.complete
 
 
-class Loop:
+class EventLoopThread:
     """An event loop in a thread of its own, so that steps are plain calls."""
 
     def __init__(self) -> None:
@@ -63,7 +63,9 @@
         self.loop.close()
 
 
-def chat(prompt: str, stream: bool, max_tokens: int, tag: str = "", turns: list[str] | None = None) -> dict:
+def chat_body(
+    prompt: str, stream: bool, max_tokens: int, tag: str = "", turns: list[str] | None = None
+) -> dict:
     messages = [{"role": "user", "content": prompt}]
     for turn in turns or []:
         messages += [{"role": "assistant", "content": "ok"}, {"role": "user", "content": turn}]
@@ -85,42 +87,42 @@
     outcome = Outcome(json.dumps(body["messages"])[:80])
     started = time.monotonic()
     given = {"Authorization": f"Bearer {key}", **(headers or {})}
-    timeout = ClientTimeout(total=CALL_LIMIT_S)
+    timeout = ClientTimeout(total=CALL_TIMEOUT_S)
     try:
         async with ClientSession(timeout=timeout, connector=TCPConnector(force_close=True)) as session:
             async with session.post(
                 url + "/v1/chat/completions", json=body, headers=given, ssl=tls
             ) as response:
-                note_head(outcome, response)
+                record_head(outcome, response)
                 parts = []
                 async for part in response.content.iter_any():
                     if not parts:
-                        outcome.first_s = time.monotonic() - started
+                        outcome.first_byte_s = time.monotonic() - started
                     parts.append(part)
                 outcome.body = b"".join(parts)
     except (ClientError, asyncio.TimeoutError, OSError):
         outcome.broken = True
     outcome.total_s = time.monotonic() - started
-    read_answer(outcome, body)
+    parse_answer(outcome, body)
     return outcome
 
 
-def note_head(outcome: Outcome, response: Any) -> None:
+def record_head(outcome: Outcome, response: Any) -> None:
     outcome.status = response.status
     outcome.headers = dict(response.headers)
     outcome.request_id = response.headers.get("X-Request-Id", "")
-    outcome.ran = response.headers.get("Stairquay-Run", "")
+    outcome.execution_status = response.headers.get("Stairquay-Run", "")
     outcome.retry_after = response.headers.get("Retry-After", "")
 
 
-def read_answer(outcome: Outcome, body: dict) -> None:
+def parse_answer(outcome: Outcome, body: dict) -> None:
     if outcome.status == 200 and body["stream"]:
-        read_stream(outcome, body)
+        parse_stream(outcome, body)
     elif outcome.body and not outcome.broken:
-        read_whole(outcome, body)
+        parse_body(outcome, body)
 
 
-def read_stream(outcome: Outcome, body: dict) -> None:
+def parse_stream(outcome: Outcome, body: dict) -> None:
     events = [line[6:] for line in outcome.body.decode().split("\n") if line.startswith("data: ")]
     done = bool(events) and events[-1] == "[DONE]" and not outcome.broken
     for event in events:
@@ -134,26 +136,26 @@
             continue
         if "error" in value:
             outcome.code = value["error"]["code"]
-            outcome.ran = value["error"]["run"]
+            outcome.execution_status = value["error"]["run"]
             done = False
             continue
-        note_usage(outcome, value)
+        record_usage(outcome, value)
         for choice in value["choices"]:
             outcome.text += choice["delta"].get("content") or ""
-    outcome.whole = done and is_expected(outcome.text, body)
+    outcome.complete = done and is_expected(outcome.text, body)
 
 
-def read_whole(outcome: Outcome, body: dict) -> None:
+def parse_body(outcome: Outcome, body: dict) -> None:
     value = json.loads(outcome.body)
     if "error" in value:
         outcome.code = value["error"]["code"]
         return
-    note_usage(outcome, value)
+    record_usage(outcome, value)
     outcome.text = value["choices"][0]["message"]["content"]
-    outcome.whole = is_expected(outcome.text, body)
+    outcome.complete = is_expected(outcome.text, body)
 
 
-def note_usage(outcome: Outcome, value: dict) -> None:
+def record_usage(outcome: Outcome, value: dict) -> None:
     usage = value.get("usage")
     if usage:
         outcome.cached = usage["prompt_tokens_details"]["cached_tokens"]
@@ -170,13 +172,13 @@
 ) -> Outcome:
     outcome = Outcome(path)
     given = {"Authorization": f"Bearer {key}", **(headers or {})}
-    timeout = ClientTimeout(total=CALL_LIMIT_S)
+    timeout = ClientTimeout(total=CALL_TIMEOUT_S)
     try:
         async with ClientSession(timeout=timeout, connector=TCPConnector(force_close=True)) as session:
             async with session.request(method, url + path, data=body or None, headers=given) as response:
-                note_head(outcome, response)
+                record_head(outcome, response)
                 outcome.body = await response.read()
-                outcome.whole = response.status == 200
+                outcome.complete = response.status == 200
     except (ClientError, asyncio.TimeoutError, OSError):
         outcome.broken = True
     if outcome.status >= 400 and outcome.body:
@@ -208,11 +210,11 @@
         if run["tag"].startswith("once"):
             by_tag[run["tag"]] = by_tag.get(run["tag"], 0) + 1
     for outcome in outcomes:
-        if outcome.ran == "not run" and outcome.request_id in by_request:
+        if outcome.execution_status == "not run" and outcome.request_id in by_request:
             found.append(f"told not run, but ran: {outcome.request_id} {outcome.code}")
-        if outcome.status == 200 and not outcome.whole and not outcome.broken and not outcome.code:
+        if outcome.status == 200 and not outcome.complete and not outcome.broken and not outcome.code:
             found.append(f"an answer that is not whole passed for one: {outcome.body[-200:]!r}")
-        if outcome.status >= 500 and not outcome.ran:
+        if outcome.status >= 500 and not outcome.execution_status:
             found.append(f"a refusal that does not say whether it ran: {outcome.body[:200]!r}")
     found += [f"{tag} ran {count} times" for tag, count in by_tag.items() if count > 1]
     return found
