--- a/bench/cost.py
+++ b/bench/cost.py
@@ -195,17 +195,17 @@
         "control.upkeep_s": 5.0,
     }
     try:
-        cluster.platform()
-        address = cluster.proxy("platform", f"127.0.0.1:{cluster.ports['platform']}")
-        cluster.platform_via = f"http://{address}"
+        cluster.start_platform()
+        address = cluster.start_proxy("platform", f"127.0.0.1:{cluster.ports['platform']}")
+        cluster.platform_proxy_url = f"http://{address}"
         names = [f"engine-{number}" for number in range(engines)]
         for name in names:
-            cluster.proxy(name)
-            cluster.engine(name)
+            cluster.start_proxy(name)
+            cluster.start_engine(name)
         cluster.add_boxes("box-1")
         cluster.start_boxes("box-1")
         cluster.until_ready("box-1")
-        cluster.until(lambda: cluster.ready("box-1", "control"), 20, "control")
+        cluster.until(lambda: cluster.is_ready("box-1", "control"), 20, "control")
         cluster.apply("box-1", idle_intents(names, workspaces))
         time.sleep(3.0)
         roles = ("entry", "router", "control")
@@ -248,7 +248,7 @@
 
     cluster = Cluster(python=sys.executable)
     try:
-        url = cluster.platform(writes_s=100.0)
+        url = cluster.start_platform(writes_s=100.0)
 
         async def run(batch: int, count: int) -> float:
             platform = HttpPlatform(url, 30.0)
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -41,15 +41,15 @@
 def build(cluster: Cluster) -> None:
     """Start and configure the system through its own intent API."""
     cluster.overrides = {"router.keep.export_delay_s": 0.1, "router.keep.export_link_share": 1.0}
-    cluster.platform()
+    cluster.start_platform()
     for name in ENGINES:
-        cluster.engine(name, cache_tokens=MEMORY_TOKENS, prefill_tokens_s=10_000, decode_step_s=0.01)
+        cluster.start_engine(name, cache_tokens=MEMORY_TOKENS, prefill_tokens_s=10_000, decode_step_s=0.01)
     for name in HSITA.stores:
-        cluster.store(name, link_bytes_s=COSTS["link_bytes_s"])
+        cluster.start_store(name, link_bytes_s=COSTS["link_bytes_s"])
     cluster.add_boxes("box-1", "box-2")
     cluster.start_boxes("box-1", "box-2")
     cluster.until_ready("box-1", "box-2")
-    cluster.until(lambda: cluster.ready("box-1", "control"), 20, "control")
+    cluster.until(lambda: cluster.is_ready("box-1", "control"), 20, "control")
     service = {
         "kind": BoxKind.ENGINE.value,
         "endpoints": [{"id": name, "checks_orders": True} for name in ENGINES],
--- a/bench/deploy.py
+++ b/bench/deploy.py
@@ -41,27 +41,27 @@
         "router.keep.grace_s": 3.0,
         **variant.overrides,
     }
-    cluster.platform(load_s=1.5 / SCALE)
+    cluster.start_platform(load_s=1.5 / SCALE)
     engines = [f"engine-{number}" for number in range(1, deployment.engines + 1)]
     for number, name in enumerate(engines):
-        cluster.engine(name, deployment.halls[number % 3], **engine_parameters(deployment, variant))
+        cluster.start_engine(name, deployment.halls[number % 3], **engine_parameters(deployment, variant))
     for number, name in enumerate(deployment.stores):
         rate = deployment.link_bytes_s * SCALE
         capacity = int(deployment.store_bytes * variant.store_share)
-        cluster.store(name, deployment.halls[number], capacity=capacity, link_bytes_s=rate)
+        cluster.start_store(name, deployment.halls[number], capacity=capacity, link_bytes_s=rate)
     boxes = [f"box-{number}" for number in range(1, variant.boxes + 1)]
     for name in engines + list(deployment.stores):
         cluster.until_listens(cluster.ports[name])
     cluster.add_boxes(*boxes)
     cluster.start_boxes(*boxes, roles=("router", "entry"))
-    cluster.program("box-1", "control")
+    cluster.start_program("box-1", "control")
     cluster.until_ready(*boxes)
-    cluster.until(lambda: cluster.ready("box-1", "control"), 20, "control")
+    cluster.until(lambda: cluster.is_ready("box-1", "control"), 20, "control")
     revision = cluster.apply("box-1", intents(deployment, engines))
     cluster.until_in_force("box-1", revision, 20)
     cluster.until(lambda: polled(cluster), 10, "engines polled")
     for name in deployment.stores:
-        cluster.fault(name, link_factor=variant.slow_link)
+        cluster.set_fault(name, link_factor=variant.slow_link)
     if variant.dead_store:
         cluster.processes[deployment.stores[0]].kill()
     return cluster
--- a/features/environment.py
+++ b/features/environment.py
@@ -32,6 +32,6 @@
 
 def after_scenario(context, scenario):
     if scenario.status.name not in ("passed", "skipped"):
-        print(context.cluster.tails())
+        print(context.cluster.log_tails())
     context.cluster.stop()
     context.loop.stop()
--- a/features/steps/proofs.py
+++ b/features/steps/proofs.py
@@ -181,8 +181,8 @@
     """Close or open the proxies through which this box alone, and other boxes' owners, are reached."""
     for other in context.box_names:
         if other != box:
-            context.cluster.proxy_fault(f"{other}-router", refuse=refuse)
-    context.cluster.proxy_fault("platform", refuse=refuse)
+            context.cluster.set_proxy_fault(f"{other}-router", refuse=refuse)
+    context.cluster.set_proxy_fault("platform", refuse=refuse)
 
 
 @when("{box:Name} holds the lease")
@@ -200,8 +200,8 @@
     cluster.until(leads, 15, f"{box} leads")
     for other in others:
         cluster.processes[f"{other}-control"].wait(10)
-        cluster.program(other, "control")
-        cluster.until(lambda other=other: cluster.ready(other, "control"), 15, "control")
+        cluster.start_program(other, "control")
+        cluster.until(lambda other=other: cluster.is_ready(other, "control"), 15, "control")
 
 
 @then("{name:Name} shows at least {count:d} segments")
--- a/features/steps/system.py
+++ b/features/steps/system.py
@@ -58,37 +58,39 @@
 
 @given("only {box:Name} goes through the platform's proxy")
 def _(context, box):
-    context.cluster.platform_via_for = {box}
+    context.cluster.boxes_behind_platform_proxy = {box}
 
 
 @given("a system of {boxes:d} boxes, {engines:d} engines, {stores:d} stores and {plain:d} plain endpoints")
 def _(context, boxes, engines, stores, plain):
     cluster = context.cluster
-    cluster.platform(load_s=COSTS["load_s"])
+    cluster.start_platform(load_s=COSTS["load_s"])
     for name in getattr(context, "proxied", []):
         if name == "platform":
-            cluster.platform_via = "http://" + cluster.proxy(name, f"127.0.0.1:{cluster.ports['platform']}")
+            cluster.platform_proxy_url = "http://" + cluster.start_proxy(
+                name, f"127.0.0.1:{cluster.ports['platform']}"
+            )
         elif name.startswith("box"):
             cluster.proxied_routers.add(name)
         else:
-            cluster.proxy(name)
+            cluster.start_proxy(name)
     context.engines = [f"engine-{i}" for i in range(1, engines + 1)]
     context.stores = [f"store-{i}" for i in range(1, stores + 1)]
     context.plain = [f"plain-{i}" for i in range(1, plain + 1)]
     context.box_names = [f"box-{i}" for i in range(1, boxes + 1)]
     for name in context.engines:
-        cluster.engine(name, **engine_values(context))
+        cluster.start_engine(name, **engine_values(context))
     for name in context.stores:
-        cluster.store(name, **store_values(context))
+        cluster.start_store(name, **store_values(context))
     for name in context.plain:
-        cluster.plain(name)
+        cluster.start_plain(name)
     for name in context.engines + context.stores + context.plain:
         cluster.until_listens(cluster.ports[name])
     cluster.add_boxes(*context.box_names)
     cluster.start_boxes(*context.box_names)
     cluster.until_ready(*context.box_names)
     for name in context.box_names:
-        cluster.until(lambda name=name: cluster.ready(name, "control"), 15, "control")
+        cluster.until(lambda name=name: cluster.is_ready(name, "control"), 15, "control")
     revision = cluster.apply("box-1", first_intents(context))
     cluster.until_in_force("box-1", revision)
     cluster.until(lambda: all(item["age_s"] >= 0 for item in engine_status(context)), 10, "engines polled")
@@ -137,7 +139,7 @@
 def _(context, name, fault, value):
     import json
 
-    context.cluster.fault(name, **{fault: json.loads(value)})
+    context.cluster.set_fault(name, **{fault: json.loads(value)})
 
 
 @step("all engines have the fault {fault:Name} = {value}")
@@ -145,21 +147,21 @@
     import json
 
     for name in context.engines:
-        context.cluster.fault(name, **{fault: json.loads(value)})
+        context.cluster.set_fault(name, **{fault: json.loads(value)})
 
 
 @step("the platform has the fault {fault:Name} = {value}")
 def _(context, fault, value):
     import json
 
-    context.cluster.fault("platform", **{fault: json.loads(value)})
+    context.cluster.set_fault("platform", **{fault: json.loads(value)})
 
 
 @step("the proxy before {name:Name} has the fault {fault:Name} = {value}")
 def _(context, name, fault, value):
     import json
 
-    context.cluster.proxy_fault(name, **{fault: json.loads(value)})
+    context.cluster.set_proxy_fault(name, **{fault: json.loads(value)})
 
 
 @step("{name:Name} is killed")
@@ -184,17 +186,17 @@
 
 @step("the program {role:Name} of {box:Name} is started again")
 def _(context, role, box):
-    context.cluster.program(box, role)
+    context.cluster.start_program(box, role)
 
 
 @step("engine {name:Name} is started anew")
 def _(context, name):
-    context.cluster.engine(name, **engine_values(context))
+    context.cluster.start_engine(name, **engine_values(context))
 
 
 @step("store {name:Name} is started anew")
 def _(context, name):
-    context.cluster.store(name, **store_values(context))
+    context.cluster.start_store(name, **store_values(context))
     context.cluster.until_listens(context.cluster.ports[name])
 
 
@@ -210,20 +212,20 @@
 
 @then("{box:Name} is ready within {seconds:g} s")
 def _(context, box, seconds):
-    context.cluster.until_ready(box, limit_s=seconds)
+    context.cluster.until_ready(box, timeout_s=seconds)
 
 
 @then("{box:Name} is not ready within {seconds:g} s")
 def _(context, box, seconds):
-    context.cluster.until(lambda: not context.cluster.ready(box, "entry"), seconds, f"{box} unready")
+    context.cluster.until(lambda: not context.cluster.is_ready(box, "entry"), seconds, f"{box} unready")
 
 
 @step("the list says that {name:Name} is {state:Name}")
 def _(context, name, state):
     cluster = context.cluster
     kind = BoxKind.PLAIN if name in context.plain else BoxKind.ENGINE
-    address = cluster.via.get(name, f"127.0.0.1:{cluster.ports[name]}")
-    cluster.list_box(name, kind, {"http": address}, state=BoxState(state))
+    address = cluster.proxy_addresses.get(name, f"127.0.0.1:{cluster.ports[name]}")
+    cluster.register_box(name, kind, {"http": address}, state=BoxState(state))
 
 
 @when("the operator puts version {version:Name} into force at {box:Name}")
@@ -264,7 +266,7 @@
 def _(context, name):
     cluster = context.cluster
     cluster.processes[name].kill()
-    cluster.engine(name, **engine_values(context))
+    cluster.start_engine(name, **engine_values(context))
     cluster.until_listens(cluster.ports[name])
     cluster.until(lambda: http("GET", f"http://127.0.0.1:{cluster.ports[name]}/state?after=0").status == 200)
     time.sleep(0.6)
--- a/tests/launcher.py
+++ b/tests/launcher.py
@@ -21,7 +21,7 @@
 from tests.ports import free_port
 
 ROOT = Path(__file__).resolve().parent.parent
-START_LIMIT_S = 30.0
+START_TIMEOUT_S = 30.0
 OPERATOR_KEY = "operator-key"
 
 
@@ -44,14 +44,14 @@
     url: str,
     body: Any = None,
     headers: dict[str, str] | None = None,
-    limit_s: float = 30.0,
+    timeout_s: float = 30.0,
     tls: ssl.SSLContext | None = None,
 ) -> Answer:
     """Call once; status 0 where no whole answer came."""
     data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
     request = urllib.request.Request(url, data=data, method=method, headers=headers or {})
     try:
-        with urllib.request.urlopen(request, timeout=limit_s, context=tls) as response:
+        with urllib.request.urlopen(request, timeout=timeout_s, context=tls) as response:
             return Answer(response.status, dict(response.headers), response.read())
     except urllib.error.HTTPError as error:
         return Answer(error.code, dict(error.headers), error.read())
@@ -80,8 +80,8 @@
     def terminate(self) -> None:
         self.popen.terminate()
 
-    def wait(self, limit_s: float) -> int:
-        return self.popen.wait(limit_s)
+    def wait(self, timeout_s: float) -> int:
+        return self.popen.wait(timeout_s)
 
     def alive(self) -> bool:
         return self.popen.poll() is None
@@ -109,9 +109,9 @@
         self.boxes: dict[str, BoxPorts] = {}
         self.incarnations = 0
         self.overrides: dict[str, Any] = {}
-        self.platform_via = ""
+        self.platform_proxy_url = ""
         self.tls: ssl.SSLContext | None = None
-        self.platform_via_for: set[str] | None = None
+        self.boxes_behind_platform_proxy: set[str] | None = None
         self.proxied_routers: set[str] = set()
 
     # Stand-ins
@@ -126,15 +126,15 @@
         self.processes[name] = process
         return process
 
-    def standin(self, module: str, name: str, **values: Any) -> int:
+    def start_standin(self, module: str, name: str, **values: Any) -> int:
         port = self.ports.get(name) or free_port()
         self.ports[name] = port
         given = json.dumps({"port": port, **values})
         self.start(name, [self.python, "-m", f"tests.standins.{module}", given])
         return port
 
-    def platform(self, **values: Any) -> str:
-        self.standin("platform", "platform", **values)
+    def start_platform(self, **values: Any) -> str:
+        self.start_standin("platform", "platform", **values)
         self.until_answers(f"{self.platform_url}/calls")
         return self.platform_url
 
@@ -142,24 +142,30 @@
     def platform_url(self) -> str:
         return f"http://127.0.0.1:{self.ports['platform']}"
 
-    def engine(self, name: str, hall: str = "", **values: Any) -> str:
+    def start_engine(self, name: str, hall: str = "", **values: Any) -> str:
         values.setdefault("platform", self.platform_url)
-        port = self.standin("engine", name, id=name, **values)
-        self.list_box(name, BoxKind.ENGINE, {"http": self.via.get(name, f"127.0.0.1:{port}")}, hall)
+        port = self.start_standin("engine", name, id=name, **values)
+        self.register_box(
+            name, BoxKind.ENGINE, {"http": self.proxy_addresses.get(name, f"127.0.0.1:{port}")}, hall
+        )
         return f"127.0.0.1:{port}"
 
-    def store(self, name: str, hall: str = "", **values: Any) -> str:
-        port = self.standin("store", name, **values)
-        self.list_box(name, BoxKind.STORE, {"http": self.via.get(name, f"127.0.0.1:{port}")}, hall)
+    def start_store(self, name: str, hall: str = "", **values: Any) -> str:
+        port = self.start_standin("store", name, **values)
+        self.register_box(
+            name, BoxKind.STORE, {"http": self.proxy_addresses.get(name, f"127.0.0.1:{port}")}, hall
+        )
         return f"127.0.0.1:{port}"
 
-    def plain(self, name: str, hall: str = "", **values: Any) -> str:
-        port = self.standin("plain", name, id=name, **values)
-        self.list_box(name, BoxKind.PLAIN, {"http": self.via.get(name, f"127.0.0.1:{port}")}, hall)
+    def start_plain(self, name: str, hall: str = "", **values: Any) -> str:
+        port = self.start_standin("plain", name, id=name, **values)
+        self.register_box(
+            name, BoxKind.PLAIN, {"http": self.proxy_addresses.get(name, f"127.0.0.1:{port}")}, hall
+        )
         return f"127.0.0.1:{port}"
 
     @property
-    def via(self) -> dict[str, str]:
+    def proxy_addresses(self) -> dict[str, str]:
         """Return the addresses of proxies by the name of what stands behind them."""
         found = {}
         for name, port in self.ports.items():
@@ -167,21 +173,21 @@
                 found[name.removeprefix("proxy:")] = f"127.0.0.1:{port}"
         return found
 
-    def proxy(self, name: str, target: str | None = None) -> str:
+    def start_proxy(self, name: str, target: str | None = None) -> str:
         """Put a proxy before a stand-in or a listener; start it before what it is put before."""
         if target is None:
             self.ports[name] = self.ports.get(name) or free_port()
             target = f"127.0.0.1:{self.ports[name]}"
         control = free_port()
-        port = self.standin("proxy", f"proxy:{name}", control=control, target=target)
+        port = self.start_standin("proxy", f"proxy:{name}", control=control, target=target)
         self.ports[f"proxycontrol:{name}"] = control
         self.until_listens(control)
         return f"127.0.0.1:{port}"
 
-    def proxy_fault(self, name: str, **values: Any) -> None:
+    def set_proxy_fault(self, name: str, **values: Any) -> None:
         self.post_fault(self.ports[f"proxycontrol:{name}"], values)
 
-    def fault(self, name: str, **values: Any) -> None:
+    def set_fault(self, name: str, **values: Any) -> None:
         self.post_fault(self.ports[name], values)
 
     def post_fault(self, port: int, values: dict[str, Any]) -> None:
@@ -191,7 +197,7 @@
     def audit(self, name: str) -> Any:
         return http("GET", f"http://127.0.0.1:{self.ports[name]}/audit").json()
 
-    def list_box(
+    def register_box(
         self,
         name: str,
         kind: BoxKind,
@@ -204,12 +210,12 @@
         answer = http("PUT", f"{self.platform_url}/boxes/{name}", encode(box))
         assert answer.status == 200, answer
 
-    def unlist_box(self, name: str) -> None:
+    def deregister_box(self, name: str) -> None:
         http("DELETE", f"{self.platform_url}/boxes/{name}")
 
     # Programs
 
-    def settings(self, box: str, hall: str = "") -> Path:
+    def write_settings(self, box: str, hall: str = "") -> Path:
         ports = self.boxes[box]
         value = {
             "box": {"id": box, "data_hall": hall},
@@ -246,14 +252,16 @@
             place[last] = item
         path = self.folder / f"{box}.json"
         # Programs of this box that are just starting must never read half a file.
-        whole = path.with_suffix(".new")
-        whole.write_text(json.dumps(value, indent=2))
-        whole.replace(path)
+        temporary_path = path.with_suffix(".new")
+        temporary_path.write_text(json.dumps(value, indent=2))
+        temporary_path.replace(path)
         return path
 
     def platform_address(self, box: str) -> str:
-        through = self.platform_via and (self.platform_via_for is None or box in self.platform_via_for)
-        return self.platform_via if through else self.platform_url
+        uses_proxy = self.platform_proxy_url and (
+            self.boxes_behind_platform_proxy is None or box in self.boxes_behind_platform_proxy
+        )
+        return self.platform_proxy_url if uses_proxy else self.platform_url
 
     def seeds(self) -> list[str]:
         return [f"127.0.0.1:{ports.router}" for ports in self.boxes.values()]
@@ -267,34 +275,36 @@
             addresses = {"entry": f"127.0.0.1:{ports.entry}", "control": f"127.0.0.1:{ports.control}"}
             addresses["router"] = f"127.0.0.1:{ports.router}"
             if f"{name}-router" in self.proxied_routers:
-                addresses["router"] = self.proxy(f"{name}-router", addresses["router"])
-            self.list_box(name, BoxKind.STAIRQUAY, addresses)
+                addresses["router"] = self.start_proxy(f"{name}-router", addresses["router"])
+            self.register_box(name, BoxKind.STAIRQUAY, addresses)
 
-    def program(self, box: str, role: str) -> Process:
-        path = self.settings(box)
+    def start_program(self, box: str, role: str) -> Process:
+        path = self.write_settings(box)
         return self.start(f"{box}-{role}", [self.python, "-m", "stairquay", role, str(path)])
 
     def start_boxes(self, *names: str, roles: tuple[str, ...] = ("router", "entry", "control")) -> None:
         for name in names:
             for role in roles:
-                self.program(name, role)
+                self.start_program(name, role)
 
-    def until_ready(self, *boxes: str, limit_s: float = START_LIMIT_S) -> None:
+    def until_ready(self, *boxes: str, timeout_s: float = START_TIMEOUT_S) -> None:
         for box in boxes:
-            self.until(lambda box=box: self.ready(box, "entry") and self.ready(box, "router"), limit_s, box)
+            self.until(
+                lambda box=box: self.is_ready(box, "entry") and self.is_ready(box, "router"), timeout_s, box
+            )
 
     def programs_alive(self) -> list[str]:
         names = [f"{box}-{role}" for box in self.boxes for role in ("router", "entry", "control")]
         return [name for name in names if name in self.processes and self.processes[name].alive()]
 
-    def ready(self, box: str, role: str) -> bool:
+    def is_ready(self, box: str, role: str) -> bool:
         ports = self.boxes[box]
         port = ports.entry if role == "entry" else ports.router_metrics
         if role == "control":
             port = ports.control_metrics
         secure = self.tls is not None and role == "entry"
         url = f"{'https' if secure else 'http'}://127.0.0.1:{port}/readyz"
-        return http("GET", url, limit_s=2.0, tls=self.tls if secure else None).status == 200
+        return http("GET", url, timeout_s=2.0, tls=self.tls if secure else None).status == 200
 
     # Operators
 
@@ -317,7 +327,7 @@
         assert answer.status == 200, answer
         return answer.json()["revision"]
 
-    def until_in_force(self, box: str, revision: int, limit_s: float = 10.0) -> float:
+    def until_in_force(self, box: str, revision: int, timeout_s: float = 10.0) -> float:
         """Wait until every process has a revision; return the seconds it took."""
         started = time.monotonic()
 
@@ -326,13 +336,13 @@
             reported = {f"{item['box']}-{item['role']}": item["revision"] for item in status["processes"]}
             return all(reported.get(name, 0) >= revision for name in self.programs_alive())
 
-        self.until(in_force, limit_s, f"revision {revision} everywhere")
+        self.until(in_force, timeout_s, f"revision {revision} everywhere")
         return time.monotonic() - started
 
     # Waiting
 
-    def until(self, condition, limit_s: float = START_LIMIT_S, what: str = "") -> None:
-        end = time.monotonic() + limit_s
+    def until(self, condition, timeout_s: float = START_TIMEOUT_S, what: str = "") -> None:
+        end = time.monotonic() + timeout_s
         while True:
             try:
                 if condition():
@@ -340,7 +350,7 @@
             except (KeyError, ValueError):
                 pass
             if time.monotonic() > end:
-                raise AssertionError(f"not within {limit_s} s: {what}\n{self.tails()}")
+                raise AssertionError(f"not within {timeout_s} s: {what}\n{self.log_tails()}")
             time.sleep(0.05)
 
     def until_listens(self, port: int) -> None:
@@ -351,9 +361,9 @@
         self.until(listens, what=f"port {port}")
 
     def until_answers(self, url: str) -> None:
-        self.until(lambda: http("GET", url, limit_s=2.0).status > 0, what=url)
+        self.until(lambda: http("GET", url, timeout_s=2.0).status > 0, what=url)
 
-    def tails(self) -> str:
+    def log_tails(self) -> str:
         parts = []
         for process in self.processes.values():
             text = process.log.read_text(errors="replace")[-1500:]
