--- a/tests/many_boxes.py
+++ b/tests/many_boxes.py
@@ -27,10 +27,10 @@
 from tests.ports import free_port
 from tests.site import Answer, Site, eventually, site
 
-OTHERS = 11
+OTHER_BOXES = 11
 """Other boxes in the table: with this one more than route by themselves."""
 
-TRIES = 10
+MAX_PROMPTS = 10
 """Prompts sent until the router has placed one."""
 
 ROUTERS = ["router-1", "router-2"]
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class Router:
+class StubRouter:
     """A router that says what the test wants. `silent`: it answers no question at all. `again`: answers that
     tell to ask again."""
 
@@ -46,45 +46,45 @@
     reply: PlaceReply = field(default_factory=PlaceReply)
     silent: bool = False
     view_age_s: float | None = None
-    followed: int = 0
-    again: int = 0
-    asked: list[PlaceRequest] = field(default_factory=list)
+    operators_requests: int = 0
+    retry_replies: int = 0
+    place_requests: list[PlaceRequest] = field(default_factory=list)
     ended: list[EndedAttempt] = field(default_factory=list)
-    read: list[str] = field(default_factory=list)
+    prefill_finished: list[str] = field(default_factory=list)
 
-    def answers(self) -> RouterHandlers:
+    def handlers(self) -> RouterHandlers:
         return RouterHandlers(self.place, self.finished, self.operators, self.endpoints, self.views)
 
-    async def place(self, asked: PlaceRequest) -> PlaceReply:
-        self.asked.append(asked)
-        await self.wait()
-        if self.again and asked.may_wait:
-            self.again -= 1
+    async def place(self, request: PlaceRequest) -> PlaceReply:
+        self.place_requests.append(request)
+        await self.wait_if_silent()
+        if self.retry_replies and request.may_wait:
+            self.retry_replies -= 1
             return PlaceReply(endpoint="e-0", version=1, again_s=0.02)
         return self.reply
 
     async def finished(self, notice: FinishedNotice) -> Empty:
         self.ended += notice.ended
-        self.read += notice.read
-        await self.wait()
+        self.prefill_finished += notice.read
+        await self.wait_if_silent()
         return Empty()
 
-    async def operators(self, asked: OperatorsRequest) -> OperatorsReply:
-        self.followed += 1
-        await self.wait()
-        await asyncio.sleep(asked.wait_s)
-        return OperatorsReply(OperatorChanges(asked.after, False), self.age(), asked.wait_s)
+    async def operators(self, request: OperatorsRequest) -> OperatorsReply:
+        self.operators_requests += 1
+        await self.wait_if_silent()
+        await asyncio.sleep(request.wait_s)
+        return OperatorsReply(OperatorChanges(request.after, False), self.age(), request.wait_s)
 
-    async def endpoints(self, asked: EndpointsRequest) -> EndpointsReply:
-        await self.wait()
-        await asyncio.sleep(asked.wait_s)
-        return EndpointsReply(EndpointChanges(asked.after, False), self.age())
+    async def endpoints(self, request: EndpointsRequest) -> EndpointsReply:
+        await self.wait_if_silent()
+        await asyncio.sleep(request.wait_s)
+        return EndpointsReply(EndpointChanges(request.after, False), self.age())
 
-    async def views(self, asked: ViewsRequest) -> ViewsReply:
-        both = self.operators(asked.operators), self.endpoints(asked.endpoints)
+    async def views(self, request: ViewsRequest) -> ViewsReply:
+        both = self.operators(request.operators), self.endpoints(request.endpoints)
         return ViewsReply(*await asyncio.gather(*both))
 
-    async def wait(self) -> None:
+    async def wait_if_silent(self) -> None:
         if self.silent:
             await asyncio.sleep(30)
 
@@ -94,7 +94,7 @@
 
 def add_boxes(here: Site, router: str = "") -> None:
     """Have other boxes in the table, two of them routers where an address is given."""
-    for number in range(OTHERS):
+    for number in range(OTHER_BOXES):
         here.table.put("stairquay", f"box/other-{number}", {"beat": 1})
     if router:
         row = {"beat": 1, "address": router, "capacity": 2.0, "data_hall": "hall-a"}
@@ -103,45 +103,45 @@
 
 
 @asynccontextmanager
-async def routed(**options) -> AsyncIterator[tuple[Site, Router]]:
+async def routed_box(**options) -> AsyncIterator[tuple[Site, StubRouter]]:
     """A box that has routers to ask. They know nothing of the table service."""
-    router = Router(f"127.0.0.1:{free_port()}")
-    server = await serve(router.address, router.answers())
+    router = StubRouter(f"127.0.0.1:{free_port()}")
+    server = await serve(router.address, router.handlers())
     try:
         async with site(ready=False, limits={"cpu_share": 0}, **options) as here:
             add_boxes(here, router.address)
             await here.until_ready()
-            await eventually(lambda: asks(here) and router.followed)
+            await eventually(lambda: picked_routers(here) and router.operators_requests)
             yield here, router
     finally:
         await server.stop(None)
 
 
-async def placed_prompt(
-    here: Site, router: Router, call_id: str, before: Callable[[], None] = lambda: None, **options
+async def prompt_until_placed(
+    here: Site, router: StubRouter, call_id: str, before: Callable[[], None] = lambda: None, **options
 ) -> tuple[Answer, PlaceRequest]:
     """Send prompts until the router has placed one, and return its answer and the question.
 
     A busy machine may not answer a question within its 80 ms; the box then decides by itself, which other
     tests are about.
     """
-    for number in range(TRIES):
+    for number in range(MAX_PROMPTS):
         before()
         name = f"{call_id}-{number}"
         answer = await here.prompt(call_id=name, **options)
         await eventually(lambda name=name: here.logged("sent", request=name))
         if here.logged("sent", request=name)[0]["router"] in ROUTERS:
-            return answer, next(item for item in router.asked if item.ticket == f"{name} 0")
+            return answer, next(item for item in router.place_requests if item.ticket == f"{name} 0")
         await asyncio.sleep(0.5)
     raise AssertionError("the router placed nothing")
 
 
-def asks(here: Site) -> bool:
+def picked_routers(here: Site) -> bool:
     return any(line["routers"] == ROUTERS for line in here.logged("router", outcome="picked"))
 
 
 @asynccontextmanager
-async def routing(**options) -> AsyncIterator[tuple[Site, RouterClient]]:
+async def router_box(**options) -> AsyncIterator[tuple[Site, RouterClient]]:
     """A box that is a router, and a channel to it."""
     async with site(ready=False, **options) as here:
         add_boxes(here)
@@ -154,17 +154,17 @@
             await link.close()
 
 
-BESIDE_TWO = 10
+UNREACHABLE_BOXES = 10
 """Other boxes in the table that nobody can reach: with two real ones, more than route by themselves."""
 
-FIRST, SECOND = "box-1@127.0.0.1", "box-2@127.0.0.1"
+FIRST_BOX, SECOND_BOX = "box-1@127.0.0.1", "box-2@127.0.0.1"
 
 
 @asynccontextmanager
 async def two_boxes(**options) -> AsyncIterator[tuple[Site, Site]]:
     """Two boxes as real processes that share their stand-ins, one of which routes for both."""
     async with site(ready=False, **options) as first:
-        for number in range(BESIDE_TWO):
+        for number in range(UNREACHABLE_BOXES):
             first.table.put("stairquay", f"box/other-{number}", {"beat": 1})
         with tempfile.TemporaryDirectory() as folder:
             second = Site(first.table, first.endpoints, first.stores, Path(folder), name="box-2")
@@ -173,15 +173,15 @@
                 await second.start_box()
                 await first.until_ready()
                 await second.until_ready()
-                await eventually(lambda: both_know(first) and both_know(second))
+                await eventually(lambda: picked_both(first) and picked_both(second))
                 yield first, second
             finally:
                 second.endpoints, second.stores = [], []
                 await second.close()
 
 
-def both_know(here: Site) -> bool:
-    return any(line["routers"] == [FIRST, SECOND] for line in here.logged("router", outcome="picked"))
+def picked_both(here: Site) -> bool:
+    return any(line["routers"] == [FIRST_BOX, SECOND_BOX] for line in here.logged("router", outcome="picked"))
 
 
 @asynccontextmanager
@@ -193,10 +193,10 @@
         with tempfile.TemporaryDirectory() as folder:
             try:
                 for number in range(2, count + 1):
-                    place = Path(folder) / str(number)
-                    place.mkdir()
+                    subfolder = Path(folder) / str(number)
+                    subfolder.mkdir()
                     box = Site(
-                        first.table, first.endpoints, [], place, name=f"box-{number}", bounds=first.bounds
+                        first.table, first.endpoints, [], subfolder, name=f"box-{number}", bounds=first.bounds
                     )
                     box.session = ClientSession(timeout=ClientTimeout(total=20), auto_decompress=False)
                     await box.start_box()
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -10,7 +10,7 @@
 from stairquay.serving.following import follow_endpoints
 from stairquay.serving.ports import EndpointChanges, FeedFault
 from stairquay.serving.state import BoxState
-from tests.many_boxes import routed
+from tests.many_boxes import routed_box
 from tests.site import eventually
 from tests.states import box_state
 
@@ -91,7 +91,7 @@
     """The router's last word was 0.8 s old, and the box waits for another before it asks for itself."""
 
     async def scenario():
-        async with routed(drain_ms=2000) as (here, router):
+        async with routed_box(drain_ms=2000) as (here, router):
             router.view_age_s = 0.8
             await asyncio.sleep(1.5)
             router.silent = True
@@ -109,7 +109,7 @@
 
 def test_a_box_beside_routers_serves_on_right_after_an_outage_in_which_all_entries_lapsed():
     async def scenario():
-        async with routed() as (here, router):
+        async with routed_box() as (here, router):
             here.table.down = True
             await eventually(lambda: here.logged("dependency", name="endpoints", outcome="lost"), 5.0)
             await asyncio.sleep(2.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,7 +14,7 @@
 
 from stairquay.explain import Logs, explain_request
 from stairquay.serving.messages import Outcome, PlaceReply
-from tests.many_boxes import placed_prompt, routed, two_boxes
+from tests.many_boxes import prompt_until_placed, routed_box, two_boxes
 from tests.site import Answer, Site, configuration, eventually, site
 from tests.standins.dialect import Endpoint
 
@@ -200,15 +200,15 @@
 
 def test_a_box_that_was_told_of_a_limit_tells_a_router_that_does_not_know_of_it():
     async def scenario():
-        async with routed(plain=0, engines=2) as (here, router):
+        async with routed_box(plain=0, engines=2) as (here, router):
             limited = here.engines()[0]
             limited.limit = "1"
             router.reply = PlaceReply(endpoint=limited.id, version=1, scope="/m/1", first_token_s=0.02)
-            await placed_prompt(here, router, "first")
-            router.asked.clear()
+            await prompt_until_placed(here, router, "first")
+            router.place_requests.clear()
             began = clock()
             answers = await press(lambda n: here.prompt("/again/x", call_id=f"press-{n}"), 10, 8.0)
-            told = [item.said[0] for item in router.asked if item.said]
+            told = [item.said[0] for item in router.place_requests if item.said]
             assert told and told[0].endpoint == limited.id and told[0].per_s == 1.0
             assert any(ended.outcome == Outcome.NOT_SENT for ended in router.ended)
             assert busiest_window(limited, began) <= borne(1)
--- a/tests/test_many_boxes.py
+++ b/tests/test_many_boxes.py
@@ -4,7 +4,7 @@
 
 from stairquay.serving.links import RouterClient
 from stairquay.serving.messages import EndedAttempt, OperatorsRequest, Outcome, PlaceReply, PromptPart
-from tests.many_boxes import ROUTERS, Router, placed_prompt, routed
+from tests.many_boxes import ROUTERS, StubRouter, prompt_until_placed, routed_box
 from tests.site import MODEL, SCOPE, Site, eventually
 from tests.standins.dialect import Endpoint
 
@@ -15,9 +15,9 @@
 
 def test_a_box_sends_a_prompt_where_its_router_says_and_tells_when_it_ended():
     async def scenario():
-        async with routed(engines=3) as (here, router):
+        async with routed_box(engines=3) as (here, router):
             router.reply = reply_for("e-2", fetch_from=("", "10.0.0.9:1", ""), save_to=("10.0.0.8:1", "", ""))
-            answer, asked = await placed_prompt(here, router, "call-7")
+            answer, asked = await prompt_until_placed(here, router, "call-7")
             assert answer.status == 200
             taken = next(item for item in here.engines() if item.id == "e-2").taken[-1]
             assert taken.headers["Cache-Salt"] == SCOPE and taken.headers["Expect-Version"] == "1"
@@ -32,14 +32,16 @@
 
 def test_a_router_hears_how_attempts_end():
     async def scenario():
-        async with routed(engines=1) as (here, router):
+        async with routed_box(engines=1) as (here, router):
             router.reply = reply_for("e-0")
             engine = here.engines()[0]
             engine.break_after = 1
-            _, broken = await placed_prompt(here, router, "broken")
+            _, broken = await prompt_until_placed(here, router, "broken")
             await eventually(lambda: EndedAttempt(broken.ticket, Outcome.FAILED) in router.ended)
             engine.break_after = None
-            _, refused = await placed_prompt(here, router, "refused", before=lambda: refuse_once(engine))
+            _, refused = await prompt_until_placed(
+                here, router, "refused", before=lambda: refuse_once(engine)
+            )
             await eventually(lambda: EndedAttempt(refused.ticket, Outcome.TURNED_AWAY) in router.ended)
 
     def refuse_once(engine: Endpoint) -> None:
@@ -50,10 +52,10 @@
 
 def test_a_router_hears_of_an_engine_that_takes_no_connection():
     async def scenario():
-        async with routed(engines=1) as (here, router):
+        async with routed_box(engines=1) as (here, router):
             router.reply = reply_for("e-0")
             await here.engines()[0].runner.cleanup()
-            answer, asked = await placed_prompt(here, router, "dead")
+            answer, asked = await prompt_until_placed(here, router, "dead")
             assert answer.status == 503
             await eventually(lambda: EndedAttempt(asked.ticket, Outcome.UNREACHED) in router.ended)
 
@@ -62,7 +64,7 @@
 
 def test_a_router_does_not_hear_of_a_prompt_whose_caller_left_as_one_that_was_never_sent():
     async def scenario():
-        async with routed(engines=1) as (here, router):
+        async with routed_box(engines=1) as (here, router):
             router.reply = reply_for("e-0")
             here.engines()[0].hold_s = 5.0
             leaving = asyncio.create_task(here.prompt(call_id="left-1"))
@@ -77,9 +79,9 @@
 
 def test_an_isolated_workspace_is_named_to_the_router():
     async def scenario():
-        async with routed(engines=1) as (here, router):
+        async with routed_box(engines=1) as (here, router):
             router.reply = reply_for("e-0")
-            answer, asked = await placed_prompt(here, router, "walled", key="key-two")
+            answer, asked = await prompt_until_placed(here, router, "walled", key="key-two")
             assert answer.status == 200 and asked.wall == "w2"
 
     asyncio.run(scenario())
@@ -87,7 +89,7 @@
 
 def test_a_box_does_not_send_to_a_leaving_engine_whatever_its_router_says():
     async def scenario():
-        async with routed(engines=2) as (here, router):
+        async with routed_box(engines=2) as (here, router):
             leaving = here.engines()[0]
             here.table.put("servers", leaving.id, leaving.entry("draining"))
             await eventually(lambda: here.logged("endpoints", endpoint="e-0", standing="leaving"))
@@ -102,12 +104,12 @@
 
 def test_a_box_whose_router_is_silent_decides_by_itself_and_does_not_wait_each_time():
     async def scenario():
-        async with routed(engines=2) as (here, router):
+        async with routed_box(engines=2) as (here, router):
             router.reply = reply_for("e-0")
             router.silent = True
             answers = [await here.prompt(call_id=f"call-{number}") for number in range(6)]
             assert all(answer.status == 200 for answer in answers)
-            assert len(router.asked) <= 2
+            assert len(router.place_requests) <= 2
             await eventually(lambda: all(_lost(here, name) for name in ROUTERS))
             router.silent = False
             await eventually(lambda: _asked_again(here, router), 4.0)
@@ -116,16 +118,16 @@
     def _lost(here: Site, name: str) -> bool:
         return bool(here.logged("dependency", name=f"router {name}", outcome="lost"))
 
-    async def _asked_again(here: Site, router: Router) -> bool:
+    async def _asked_again(here: Site, router: StubRouter) -> bool:
         assert (await here.prompt(call_id="call-9")).status == 200
-        return any(item.ticket.startswith("call-9 ") for item in router.asked)
+        return any(item.ticket.startswith("call-9 ") for item in router.place_requests)
 
     asyncio.run(scenario())
 
 
 def test_a_box_asks_the_table_service_itself_where_its_routers_view_is_old():
     async def scenario():
-        async with routed() as (here, router):
+        async with routed_box() as (here, router):
             assert router.view_age_s is None
             here.put_configuration(3, tenants=[{"name": "w1", "api_keys": ["another"]}])
             await eventually(lambda: here.logged("configuration", outcome="in_force", version=3), 2.0)
@@ -138,7 +140,7 @@
     """A router that goes on saying that its view is 0.8 s old keeps a box's view at that age, not younger."""
 
     async def scenario():
-        async with routed(revoke_ms=600) as (here, router):
+        async with routed_box(revoke_ms=600) as (here, router):
             await eventually(lambda: _served(here))
             here.table.down = True
             router.view_age_s = 0.8
@@ -159,7 +161,7 @@
     """They answer, with a view that is 1 s old and says nothing new."""
 
     async def scenario():
-        async with routed(config_apply_ms=2000) as (here, router):
+        async with routed_box(config_apply_ms=2000) as (here, router):
             router.view_age_s = 1.0
             here.put_configuration(3)
             await eventually(lambda: here.logged("configuration", outcome="in_force", version=3), 1.9)
@@ -172,7 +174,7 @@
     the time in which a change must be known."""
 
     async def scenario():
-        async with routed(config_apply_ms=2000) as (here, router):
+        async with routed_box(config_apply_ms=2000) as (here, router):
             router.view_age_s = 0.8
             await asyncio.sleep(1.0)
             router.silent = True
@@ -186,7 +188,7 @@
     """The library cancels such a call, which must not end the part of the box that asked."""
 
     async def scenario():
-        async with routed() as (_, router):
+        async with routed_box() as (_, router):
             router.silent = True
             link = RouterClient(router.address)
             asking = asyncio.create_task(link.operators(OperatorsRequest(0, 5.0), 5.0))
@@ -199,7 +201,7 @@
 
 def test_a_box_follows_the_table_service_on_when_its_routers_change_during_a_question():
     async def scenario():
-        async with routed() as (here, router):
+        async with routed_box() as (here, router):
             router.silent = True
             await asyncio.sleep(0.2)
             for name in ROUTERS:
@@ -214,7 +216,7 @@
 
 def test_a_box_reads_the_list_itself_where_its_routers_list_is_old():
     async def scenario():
-        async with routed(plain=2, drain_ms=1000) as (here, router):
+        async with routed_box(plain=2, drain_ms=1000) as (here, router):
             router.view_age_s = 0.6
             leaving = here.endpoints[0]
             here.table.put("servers", leaving.id, leaving.entry("draining"))
--- a/tests/test_reading_once.py
+++ b/tests/test_reading_once.py
@@ -12,7 +12,7 @@
     PlaceRequest,
     PromptPart,
 )
-from tests.many_boxes import ROUTERS, routed, routing
+from tests.many_boxes import ROUTERS, routed_box, router_box
 from tests.site import SCOPE, eventually
 from tests.test_choosing import router_state
 
@@ -67,7 +67,7 @@
 
 def test_a_router_takes_a_notice_of_what_was_read():
     async def scenario():
-        async with routing(engines=2) as (here, link):
+        async with router_box(engines=2) as (here, link):
             await eventually(lambda: all(engine.asked_report for engine in here.engines()))
             assert (await link.place(question("t0"), 1.0)).read == 8_400
             assert (await link.place(question("t1", may_wait=True), 1.0)).again_s > 0
@@ -80,13 +80,13 @@
 
 def test_a_box_asks_again_when_told_and_tells_its_router_what_was_read():
     async def scenario():
-        async with routed(engines=1) as (here, router):
-            router.reply, router.again = PlaceReply(endpoint="e-0", version=1, scope=SCOPE), 2
+        async with routed_box(engines=1) as (here, router):
+            router.reply, router.retry_replies = PlaceReply(endpoint="e-0", version=1, scope=SCOPE), 2
             answer = await here.prompt(call_id="call-1")
             assert answer.status == 200
-            tickets = [asked.ticket for asked in router.asked]
+            tickets = [asked.ticket for asked in router.place_requests]
             assert len(tickets) > 2 and set(tickets) == {"call-1 0"}
-            await eventually(lambda: "call-1 0" in router.read)
+            await eventually(lambda: "call-1 0" in router.prefill_finished)
             await eventually(lambda: here.logged("waits", request="call-1"))
             assert len(here.logged("waits")) == 1
             line = here.logged("waits")[0]
--- a/tests/test_router_box.py
+++ b/tests/test_router_box.py
@@ -13,7 +13,7 @@
     PlaceRequest,
     PromptPart,
 )
-from tests.many_boxes import routing
+from tests.many_boxes import router_box
 from tests.site import MODEL, SCOPE, Site, eventually, route
 
 SLOTS = 8
@@ -54,7 +54,7 @@
 
 def test_a_router_spreads_what_it_places_and_counts_it_until_it_has_ended():
     async def scenario():
-        async with routing(engines=3) as (here, link):
+        async with router_box(engines=3) as (here, link):
             await eventually(lambda: all(engine.asked_report for engine in here.engines()))
             for number in range(ROUNDS):
                 await asyncio.sleep(0.4 if number == 0 else FORGOTTEN_S)
@@ -70,7 +70,7 @@
 
 def test_a_router_avoids_an_engine_that_fails_what_is_sent_there():
     async def scenario():
-        async with routing(engines=2) as (here, link):
+        async with router_box(engines=2) as (here, link):
             await eventually(lambda: all(engine.asked_report for engine in here.engines()))
             for number in range(4):
                 reply = await link.place(question(f"r{number}", tried=("e-1",)), 1.0)
@@ -84,7 +84,7 @@
 
 def test_a_prompt_that_is_given_up_does_not_count_as_work_of_its_engine():
     async def scenario():
-        async with routing(engines=1) as (here, link):
+        async with router_box(engines=1) as (here, link):
             await eventually(lambda: here.engines()[0].asked_report)
             busy = await link.place(question("r0", tokens=90_000), 1.0)
             assert busy.endpoint == "e-0"
@@ -99,7 +99,7 @@
 
 def test_a_router_names_the_scope_of_a_walled_workspace_and_leaves_out_tried_engines():
     async def scenario():
-        async with routing(engines=2) as (_, link):
+        async with router_box(engines=2) as (_, link):
             reply = await link.place(question("r1", wall="w2", tried=("e-0",)), 1.0)
             assert (reply.endpoint, reply.scope) == ("e-1", f"w2{SCOPE}")
             none = await link.place(question("r2", tried=("e-0", "e-1")), 1.0)
@@ -111,7 +111,7 @@
 
 def test_a_router_passes_on_the_configuration_and_the_list_with_their_ages():
     async def scenario():
-        async with routing(engines=1) as (here, link):
+        async with router_box(engines=1) as (here, link):
             whole = await link.operators(OperatorsRequest(0, 0.0), 1.0)
             assert whole.changes.catalog.version == 1 and whole.age_s < 1.5
             assert "key-one" in whole.changes.catalog.workspaces_by_key
@@ -133,7 +133,7 @@
 
 def test_a_router_whose_list_grows_old_says_so_without_waiting_longer():
     async def scenario():
-        async with routing(drain_ms=2000) as (here, link):
+        async with router_box(drain_ms=2000) as (here, link):
             listed = await link.endpoints(EndpointsRequest(0, 0.0), 1.0)
             here.table.down = True
             began = asyncio.get_running_loop().time()
@@ -145,7 +145,7 @@
 
 def test_a_router_that_stops_closes_its_channels():
     async def scenario():
-        async with routing(engines=1) as (here, link):
+        async with router_box(engines=1) as (here, link):
             assert (await link.place(question("r1"), 1.0)).endpoint == "e-0"
             here.stop_box()
             await eventually(lambda: here.logged("router", outcome="closed"))
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -14,7 +14,7 @@
 
 from stairquay.explain import Logs, explain_request
 from stairquay.serving.messages import Outcome, PlaceReply
-from tests.many_boxes import placed_prompt, routed, two_boxes
+from tests.many_boxes import prompt_until_placed, routed_box, two_boxes
 from tests.site import Answer, Site, eventually, site
 from tests.standins.dialect import Endpoint
 from tests.test_limits import clock, known_boxes, press, refused_well
@@ -199,20 +199,20 @@
 
 def test_a_box_tells_a_router_that_does_not_know_which_endpoint_leaves_and_which_wants_rest():
     async def scenario():
-        async with routed(plain=0, engines=2) as (here, router):
+        async with routed_box(plain=0, engines=2) as (here, router):
             leaving, resting = here.engines()
             leaving.leaving = "1"
             router.reply = PlaceReply(endpoint=leaving.id, version=1, scope="/m/1", first_token_s=0.02)
-            await placed_prompt(here, router, "first")
+            await prompt_until_placed(here, router, "first")
             turn_away(resting, "3")
             router.reply = PlaceReply(endpoint=resting.id, version=1, scope="/m/1", first_token_s=0.02)
-            await placed_prompt(here, router, "second")
-            router.asked.clear()
+            await prompt_until_placed(here, router, "second")
+            router.place_requests.clear()
             router.reply = PlaceReply(endpoint=leaving.id, version=1, scope="/m/1", first_token_s=0.02)
             before = len(leaving.arrived), len(resting.arrived)
             answers = await press(lambda n: here.prompt("/again/x", call_id=f"box {n}"), 10, 1.5)
             assert (len(leaving.arrived), len(resting.arrived)) == before
-            told = [item for asked in router.asked for item in asked.said]
+            told = [item for asked in router.place_requests for item in asked.said]
             assert any(item.endpoint == leaving.id and item.leaving for item in told)
             assert any(item.endpoint == resting.id and 0 < item.rest_s <= 3 for item in told)
             assert any(ended.outcome == Outcome.NOT_SENT for ended in router.ended)
--- a/tests/test_two_boxes.py
+++ b/tests/test_two_boxes.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.many_boxes import FIRST, SECOND, two_boxes
+from tests.many_boxes import FIRST_BOX, SECOND_BOX, two_boxes
 from tests.site import Site, eventually
 
 
@@ -19,14 +19,14 @@
             assert (await first.prompt(call_id="call-2")).status == 200
             await eventually(lambda: second.logged("sent", request="call-1"))
             await eventually(lambda: first.logged("sent", request="call-2"))
-            assert routed_by(second, "call-1") == routed_by(first, "call-2") == FIRST
+            assert routed_by(second, "call-1") == routed_by(first, "call-2") == FIRST_BOX
             first.box.kill()
             await first.box.wait()
             for number in range(4):
                 assert (await second.prompt(call_id=f"after-{number}")).status == 200
             await eventually(lambda: second.logged("sent", request="after-3"))
-            assert routed_by(second, "after-3") == SECOND
-            assert second.logged("dependency", name=f"router {FIRST}", outcome="lost")
+            assert routed_by(second, "after-3") == SECOND_BOX
+            assert second.logged("dependency", name=f"router {FIRST_BOX}", outcome="lost")
 
     asyncio.run(scenario())
 
