--- a/tests/run.py
+++ b/tests/run.py
@@ -19,7 +19,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 BIN = Path(sys.executable).parent
-AT_ONCE = 3
+MAX_PARALLEL_FILES = 3
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 SLOWEST = 10
 SCENARIO_WEIGHT = 4
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class Part:
+class TestFile:
     """A file of tests, or all checks without one. weight: larger ones are begun first."""
 
     name: str
@@ -107,13 +107,13 @@
     return cases or [Case(str(feature.name), False, done.stdout[-6000:] + done.stderr)]
 
 
-def parts() -> list[Part]:
+def list_test_files() -> list[TestFile]:
     """Return the files of tests, the longest first."""
     units = sorted((ROOT / "tests").rglob("test_*.py"))
     features = sorted((ROOT / "features").glob("*.feature"))
-    found = [Part(file.name, partial(unit_cases, file), _weight(file)) for file in units]
-    found += [Part(file.name, partial(feature_cases, file), _weight(file)) for file in features]
-    return sorted(found, key=lambda part: -part.weight)
+    found = [TestFile(file.name, partial(unit_cases, file), _weight(file)) for file in units]
+    found += [TestFile(file.name, partial(feature_cases, file), _weight(file)) for file in features]
+    return sorted(found, key=lambda file: -file.weight)
 
 
 def _weight(file: Path) -> int:
@@ -122,24 +122,24 @@
     return size * SCENARIO_WEIGHT if file.suffix == ".feature" else size
 
 
-def run_parts(wanted: list[Part]) -> list[Case]:
+def run_in_parallel(files: list[TestFile]) -> list[Case]:
     """Run parts a few at a time, and tell each as it ends."""
     cases = []
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        running = {pool.submit(timed, part): part for part in wanted}
+    with ThreadPoolExecutor(MAX_PARALLEL_FILES) as pool:
+        running = {pool.submit(run_timed, file): file for file in files}
         for ended in as_completed(running):
             found, seconds = ended.result()
-            tell(running[ended].name, found, seconds)
+            print_result(running[ended].name, found, seconds)
             cases += found
     return cases
 
 
-def timed(part: Part) -> tuple[list[Case], float]:
+def run_timed(file: TestFile) -> tuple[list[Case], float]:
     started = time.monotonic()
-    return part.run(), time.monotonic() - started
+    return file.run(), time.monotonic() - started
 
 
-def tell(name: str, cases: list[Case], seconds: float) -> None:
+def print_result(name: str, cases: list[Case], seconds: float) -> None:
     failed = sum(not case.passed for case in cases)
     print(f"{seconds:6.1f} s  {len(cases) - failed:3} passed, {failed} failed  {name}", flush=True)
 
@@ -147,8 +147,8 @@
 def main() -> int:
     started = time.monotonic()
     lint = lint_cases()
-    tell("lint, types, import rules", lint, time.monotonic() - started)
-    cases = lint + run_parts(parts())
+    print_result("lint, types, import rules", lint, time.monotonic() - started)
+    cases = lint + run_in_parallel(list_test_files())
     red = known_red()
     failed = [case for case in cases if not case.passed and case.name not in red]
     for case in failed:
