--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -135,7 +135,7 @@
                 body = f"prompt {number}".encode()
                 answer = await box.prompt(f"/again/{number}", call_id=call_id, body=body)
             self.outcome.sent += 1
-            if answer.whole and answer.status == 200:
+            if answer.complete and answer.status == 200:
                 self.outcome.answered += 1
                 return
             if answer.status == 503 and b"quarantined" in answer.body:
--- a/tests/test_box_state.py
+++ b/tests/test_box_state.py
@@ -287,7 +287,7 @@
             await here.call("/plain/x", call_id="rest-1")
             here.stop_box()
             await asyncio.wait_for(here.box.wait(), 8.0)
-            await here.reader
+            await here.log_reader
             for kind, inputs in INPUTS_BY_KIND.items():
                 assert any(inputs <= line.keys() for line in here.logged(kind)), kind
             assert here.logged("sent", request="prompt-1") and here.logged("ended", request="prompt-1")
