--- a/tests/standins/batch.py
+++ b/tests/standins/batch.py
@@ -42,7 +42,7 @@
     tag: str
     prompt_tokens: int
     max_tokens: int
-    ids: tuple[str, ...]
+    block_ids: tuple[str, ...]
     stream: bool
     chat: bool
     usage: bool
@@ -51,14 +51,14 @@
     priority: int = 0
     cached: int = 0
     to_prefill: int = -1
-    made: int = 0
+    generated_tokens: int = 0
     started_at: float = 0.0
     state: str = "queued"
     output: bytearray = field(default_factory=bytearray)
     done: bool = False
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def grow(self, piece: bytes, done: bool = False) -> None:
+    def append_output(self, piece: bytes, done: bool = False) -> None:
         self.output += piece
         self.done = self.done or done
         self.changed.set()
@@ -70,10 +70,10 @@
 
     def __init__(self, parameters: Parameters) -> None:
         self.parameters = parameters
-        self.numbered = 0
+        self.last_number = 0
         self.queue: list[Run] = []
         self.running: list[Run] = []
-        self.piece: tuple[Run, int] | None = None
+        self.prefill_chunk: tuple[Run, int] | None = None
         self.wake = asyncio.Event()
         self.cache: OrderedDict[str, str] = OrderedDict()
         self.events: list[tuple[float, CacheEvent]] = []
@@ -82,15 +82,15 @@
 
     def add(self, run: Run) -> None:
         """Let a run wait for its turn."""
-        self.numbered += 1
-        run.number = self.numbered
+        self.last_number += 1
+        run.number = self.last_number
         self.queue.append(run)
         self.wake.set()
 
-    async def work(self) -> None:
+    async def run_steps(self) -> None:
         at = time.monotonic()
         while True:
-            self.report()
+            self.record_load()
             if not self.queue and not self.running:
                 self.wake.clear()
                 await self.wake.wait()
@@ -108,47 +108,47 @@
             self.running.append(self.queue.pop(0))
         prefilling = [run for run in self.running if run.state in ("queued", "prefill")]
         prefilling.sort(key=lambda run: (-run.priority, run.number))
-        self.piece = None
-        spent = self.parameters.decode_step_s if len(prefilling) < len(self.running) else 0.0
+        self.prefill_chunk = None
+        step_s = self.parameters.decode_step_s if len(prefilling) < len(self.running) else 0.0
         if prefilling:
             run = prefilling[0]
             if run.state == "queued":
-                self.begin(run)
+                self.look_up_prefix(run)
             tokens = min(self.parameters.piece_tokens, run.to_prefill)
-            self.piece = (run, tokens)
-            spent += tokens / self.parameters.prefill_tokens_s
-        return max(spent, 0.0005)
+            self.prefill_chunk = (run, tokens)
+            step_s += tokens / self.parameters.prefill_tokens_s
+        return max(step_s, 0.0005)
 
-    def begin(self, run: Run) -> None:
+    def look_up_prefix(self, run: Run) -> None:
         """Look up the run's prefix in the cache."""
         run.state = "prefill"
-        held = 0
-        for block in run.ids:
+        cached_blocks = 0
+        for block in run.block_ids:
             if block not in self.cache:
                 break
             if self.cache[block] != run.version:
                 self.violations.append(f"run {run.id} used a block of version {self.cache[block]}")
             self.cache.move_to_end(block)
-            held += 1
-        run.cached = min(held * BLOCK_TOKENS, run.prompt_tokens - 1)
+            cached_blocks += 1
+        run.cached = min(cached_blocks * BLOCK_TOKENS, run.prompt_tokens - 1)
         run.to_prefill = run.prompt_tokens - run.cached
 
     def finish_step(self) -> None:
         decoding = [run for run in self.running if run.state == "decode" and not run.done]
-        if self.piece is not None:
-            run, tokens = self.piece
+        if self.prefill_chunk is not None:
+            run, tokens = self.prefill_chunk
             run.to_prefill -= tokens
             if run.to_prefill <= 0 and not run.done:
-                self.store(run.ids, run.version)
+                self.store(run.block_ids, run.version)
                 run.state = "decode"
                 decoding.append(run)
         for run in decoding:
             self.emit(run)
 
     def emit(self, run: Run) -> None:
-        text = word(run, run.made)
-        run.made += 1
-        last = run.made >= run.max_tokens
+        text = token_text(run, run.generated_tokens)
+        run.generated_tokens += 1
+        last = run.generated_tokens >= run.max_tokens
         if run.stream:
             piece = sse(chunk(run, text, None))
             if last:
@@ -158,21 +158,21 @@
                 )
                 piece += b"data: [DONE]\n\n"
         else:
-            piece = whole(run) if last else b""
+            piece = completion_body(run) if last else b""
         if last:
             run.state = "finished"
-        run.grow(piece, done=last)
+        run.append_output(piece, done=last)
 
     def store(self, ids: tuple[str, ...], version: str) -> None:
-        fresh = tuple(block for block in ids if block not in self.cache)
+        added = tuple(block for block in ids if block not in self.cache)
         for block in ids:
             self.cache[block] = version
             self.cache.move_to_end(block)
-        gone = []
+        evicted = []
         while len(self.cache) * BLOCK_TOKENS > self.parameters.cache_tokens:
-            gone.append(self.cache.popitem(last=False)[0])
-        self.publish(EventKind.STORED, fresh)
-        self.publish(EventKind.REMOVED, tuple(gone))
+            evicted.append(self.cache.popitem(last=False)[0])
+        self.publish(EventKind.STORED, added)
+        self.publish(EventKind.REMOVED, tuple(evicted))
 
     def publish(self, kind: EventKind, ids: tuple[str, ...]) -> None:
         if not ids:
@@ -181,7 +181,7 @@
         self.events.append((time.monotonic(), CacheEvent(number, kind, ids)))
         del self.events[:-5_000]
 
-    def report(self) -> None:
+    def record_load(self) -> None:
         queued = sum(run.prompt_tokens for run in self.queue)
         queued += sum(max(0, run.to_prefill) for run in self.running if run.state == "prefill")
         running = len(self.running) + len(self.queue)
@@ -189,7 +189,7 @@
         del self.reports[:-5_000]
 
 
-def word(run: Run, number: int) -> str:
+def token_text(run: Run, number: int) -> str:
     """Return one token of an answer; the first says who asked and under which weights it runs."""
     return f"{run.digest}@{run.version}" if number == 0 else f" w{number}"
 
@@ -201,7 +201,9 @@
 def chunk(run: Run, text: str, finish: str | None) -> dict:
     choice = {"index": 0, "finish_reason": finish}
     if run.chat:
-        choice["delta"] = {"role": "assistant", "content": text} if run.made == 1 else {"content": text}
+        choice["delta"] = (
+            {"role": "assistant", "content": text} if run.generated_tokens == 1 else {"content": text}
+        )
     else:
         choice["text"] = text
     return {
@@ -216,14 +218,14 @@
 def usage(run: Run) -> dict:
     return {
         "prompt_tokens": run.prompt_tokens,
-        "completion_tokens": run.made,
-        "total_tokens": run.prompt_tokens + run.made,
+        "completion_tokens": run.generated_tokens,
+        "total_tokens": run.prompt_tokens + run.generated_tokens,
         "prompt_tokens_details": {"cached_tokens": run.cached},
     }
 
 
-def whole(run: Run) -> bytes:
-    text = "".join(word(run, number) for number in range(max(1, run.max_tokens)))
+def completion_body(run: Run) -> bytes:
+    text = "".join(token_text(run, number) for number in range(max(1, run.max_tokens)))
     choice = {"index": 0, "finish_reason": "stop"}
     if run.chat:
         choice["message"] = {"role": "assistant", "content": text}
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -96,7 +96,7 @@
 
     async def start(self, app: web.Application) -> None:
         self.session = ClientSession()
-        app["work"] = asyncio.create_task(self.batch.work())
+        app["work"] = asyncio.create_task(self.batch.run_steps())
 
     # Runs
 
@@ -151,7 +151,7 @@
             tag=str(body.get("user", "")),
             prompt_tokens=max(1, size // 4),
             max_tokens=int(body.get("max_tokens") or body.get("max_completion_tokens") or 8),
-            ids=tuple(body.get("kv_transfer_params", {}).get("ids", ())),
+            block_ids=tuple(body.get("kv_transfer_params", {}).get("ids", ())),
             stream=bool(body.get("stream")),
             chat=chat,
             usage=bool((body.get("stream_options") or {}).get("include_usage")),
@@ -210,7 +210,7 @@
         run = self.runs_by_id.get(request.match_info["id"])
         if run is not None and not run.done:
             run.state = "cancelled"
-            run.grow(b"", done=True)
+            run.append_output(b"", done=True)
         return web.Response(text="ok")
 
     # Reports and orders
@@ -335,7 +335,7 @@
                 "state": run.state,
                 "prompt_tokens": run.prompt_tokens,
                 "cached": run.cached,
-                "made": run.made,
+                "made": run.generated_tokens,
                 "started_at": run.started_at,
             }
             for run in self.runs_by_id.values()
