--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -25,10 +25,10 @@
     Order,
 )
 from tests.standins.batch import Batch, Parameters, Run
-from tests.standins.serving import fault_route, parameters, reply, serve
+from tests.standins.serving import fault_route, parse_parameters, reply, serve
 from tests.standins.store import BLOCK_PAYLOAD
 
-KEEP_RUNS = 20_000
+MAX_RECORDED_RUNS = 20_000
 
 
 @dataclass
@@ -106,9 +106,9 @@
         if self.faults.never > 0:
             self.faults.never -= 1
             await asyncio.sleep(3600)
-        refused = self.refuse(body)
-        if refused is not None:
-            return refused
+        refusal = self.refusal(body)
+        if refusal is not None:
+            return refusal
         if self.faults.fail > 0 or self.random.random() < self.faults.fail_share:
             self.faults.fail = max(0, self.faults.fail - 1)
             return web.Response(status=500, headers={"X-Request-Id": run_id})
@@ -125,7 +125,7 @@
             request.transport.abort()
         return await self.answer(request, run, 0)
 
-    def refuse(self, body: dict) -> web.Response | None:
+    def refusal(self, body: dict) -> web.Response | None:
         not_run = {"X-Not-Run": "true"}
         if self.faults.leaving:
             self.turned_away += 1
@@ -161,7 +161,7 @@
         if run_id in self.runs_by_id:
             self.batch.violations.append(f"run {run_id} came twice")
         self.runs_by_id[run_id] = run
-        while len(self.runs_by_id) > KEEP_RUNS:
+        while len(self.runs_by_id) > MAX_RECORDED_RUNS:
             self.runs_by_id.popitem(last=False)
         self.batch.add(run)
         return run
@@ -267,36 +267,38 @@
     async def import_blocks(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=ImportOrder)
         self.imports["orders"] += 1
-        brought = 0
+        imported = 0
         if order.version == self.version and not self.faults.leaving:
-            brought = await self.read_blocks(order)
-        self.imports["blocks"] += brought
-        return reply(ImportResult(brought, brought * order.block_bytes))
+            imported = await self.read_blocks(order)
+        self.imports["blocks"] += imported
+        return reply(ImportResult(imported, imported * order.block_bytes))
 
     async def read_blocks(self, order: ImportOrder) -> int:
         """Read blocks run by run; stop at the first that is not whole, and after the deadline."""
-        brought = 0
-        while brought < len(order.blocks):
-            segment = order.blocks[brought].segment
-            run = [block for block in order.blocks[brought:] if block.segment == segment]
-            indexes = ",".join(str(block.index) for block in run)
-            whole = 0
+        imported = 0
+        while imported < len(order.blocks):
+            segment = order.blocks[imported].segment
+            adjacent = [block for block in order.blocks[imported:] if block.segment == segment]
+            indexes = ",".join(str(block.index) for block in adjacent)
+            valid = 0
             try:
                 url = f"http://{order.store}/data/{segment}?blocks={indexes}"
                 async with self.session.get(url) as response:
-                    for block in run if response.status == 200 else []:
+                    for block in adjacent if response.status == 200 else []:
                         payload = await response.content.readexactly(BLOCK_PAYLOAD)
-                        if time.time() > order.valid_until or not self.accept(block, payload, order.version):
+                        if time.time() > order.valid_until or not self.store_if_valid(
+                            block, payload, order.version
+                        ):
                             break
-                        whole += 1
+                        valid += 1
             except (ClientError, asyncio.IncompleteReadError):
                 pass
-            brought += whole
-            if whole < len(run):
-                return brought
-        return brought
+            imported += valid
+            if valid < len(adjacent):
+                return imported
+        return imported
 
-    def accept(self, block, payload: bytes, version: str) -> bool:
+    def store_if_valid(self, block, payload: bytes, version: str) -> bool:
         if checksum_of(payload) != block.checksum:
             self.imports["refused"] += 1
             return False
@@ -355,5 +357,5 @@
 
 
 if __name__ == "__main__":
-    given = parameters(Parameters)
+    given = parse_parameters(Parameters)
     serve(given.port, lambda: Engine(given).application())
--- a/tests/standins/plain.py
+++ b/tests/standins/plain.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from tests.standins.serving import fault_route, parameters, reply, serve
+from tests.standins.serving import fault_route, parse_parameters, reply, serve
 
 
 @dataclass
@@ -103,5 +103,5 @@
 
 
 if __name__ == "__main__":
-    given = parameters(Parameters)
+    given = parse_parameters(Parameters)
     serve(given.port, lambda: Plain(given).application())
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -10,9 +10,9 @@
 from stairquay.adapters.ports import Changes, Commit, Committed, Conflict
 from stairquay.core.models import Box, BoxList
 from stairquay.core.row import Row
-from tests.standins.serving import fault_route, parameters, reply, serve
+from tests.standins.serving import fault_route, parse_parameters, reply, serve
 
-LOADS_AT_FULL_SPEED = 2
+MAX_FULL_SPEED_LOADS = 2
 
 
 @dataclass
@@ -68,7 +68,7 @@
         self.calls = {"reads": 0, "writes": 0}
 
     def application(self) -> web.Application:
-        app = web.Application(middlewares=[self.disturb], client_max_size=64_000_000)
+        app = web.Application(middlewares=[self.inject_faults], client_max_size=64_000_000)
         app.add_routes(
             [
                 web.get("/table/rows/{key}", self.get),
@@ -85,7 +85,7 @@
         return app
 
     @web.middleware
-    async def disturb(self, request: web.Request, handler) -> web.StreamResponse:
+    async def inject_faults(self, request: web.Request, handler) -> web.StreamResponse:
         if request.path == "/fault" or request.path.startswith(("/weights", "/calls")):
             return await handler(request)
         if request.path.startswith("/boxes/"):
@@ -115,7 +115,7 @@
     async def commit(self, request: web.Request) -> web.Response:
         self.calls["writes"] += 1
         commit = msgspec.json.decode(await request.read(), type=Commit)
-        await self.pace()
+        await self.limit_write_rate()
         if self.faults.refuse_before_effect > 0:
             self.faults.refuse_before_effect -= 1
             request.transport.abort()
@@ -127,7 +127,7 @@
             return web.Response(status=503)
         return reply(outcome, 409 if isinstance(outcome, Conflict) else 200)
 
-    async def pace(self) -> None:
+    async def limit_write_rate(self) -> None:
         """Let at most `writes_s` commits through a second, in order of arrival."""
         if self.parameters.writes_s:
             start = max(time.monotonic(), self.next_write)
@@ -136,8 +136,8 @@
 
     async def boxes(self, request: web.Request) -> web.Response:
         self.calls["reads"] += 1
-        seen = time.monotonic() - self.faults.list_lag_s
-        listed = [item for at, item in self.lists if at <= seen][-1]
+        visible_at = time.monotonic() - self.faults.list_lag_s
+        listed = [item for at, item in self.lists if at <= visible_at][-1]
         tag = f'"{listed.as_of}"'
         if request.headers.get("If-None-Match") == tag:
             return web.Response(status=304)
@@ -168,7 +168,7 @@
             done = 0.0
             while done < self.parameters.load_s:
                 await asyncio.sleep(0.02)
-                done += 0.02 * min(1.0, LOADS_AT_FULL_SPEED / self.loading)
+                done += 0.02 * min(1.0, MAX_FULL_SPEED_LOADS / self.loading)
         finally:
             self.loading -= 1
         return web.Response(text=request.match_info["version"])
@@ -178,5 +178,5 @@
 
 
 if __name__ == "__main__":
-    given = parameters(Parameters)
+    given = parse_parameters(Parameters)
     serve(given.port, lambda: Platform(given).application())
--- a/tests/standins/proxy.py
+++ b/tests/standins/proxy.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from tests.standins.serving import fault_route, parameters, reply, serve
+from tests.standins.serving import fault_route, parse_parameters, reply, serve
 
 CHUNK = 65_536
 
@@ -40,7 +40,7 @@
     parameters: Parameters
     faults: Faults = field(default_factory=Faults)
     writers: set = field(default_factory=set)
-    passed: int = 0
+    forwarded_bytes: int = 0
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.faults.refuse:
@@ -48,25 +48,25 @@
             return
         host, _, port = self.parameters.target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            upstream_reader, upstream_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        pair = {writer, far_writer}
-        marked = asyncio.Event()
+        pair = {writer, upstream_writer}
+        matched = asyncio.Event()
         self.writers |= pair
         try:
             await asyncio.gather(
-                self.pump(reader, far_writer, pair, marked, answer=False),
-                self.pump(far_reader, writer, pair, marked, answer=True),
+                self.forward(reader, upstream_writer, pair, matched, answer=False),
+                self.forward(upstream_reader, writer, pair, matched, answer=True),
             )
         finally:
             self.writers -= pair
             for item in pair:
                 item.transport.abort()
 
-    async def pump(self, reader, writer, pair, marked: asyncio.Event, answer: bool) -> None:
-        passed = 0
+    async def forward(self, reader, writer, pair, matched: asyncio.Event, answer: bool) -> None:
+        forwarded_bytes = 0
         while True:
             try:
                 data = await reader.read(CHUNK)
@@ -76,21 +76,21 @@
                 await asyncio.sleep(0.01)
             await asyncio.sleep(self.faults.delay_s)
             if not answer and self.faults.only.encode() in data:
-                marked.set()
-            if not answer and marked.is_set() and self.faults.cut_requests > 0:
+                matched.set()
+            if not answer and matched.is_set() and self.faults.cut_requests > 0:
                 self.faults.cut_requests -= 1
                 self.abort(pair)
                 return
-            if data and answer and marked.is_set() and self.faults.cut_answers > 0:
-                room = self.faults.after_bytes - passed
-                if len(data) > room:
+            if data and answer and matched.is_set() and self.faults.cut_answers > 0:
+                remaining = self.faults.after_bytes - forwarded_bytes
+                if len(data) > remaining:
                     self.faults.cut_answers -= 1
-                    writer.write(data[: max(0, room)])
+                    writer.write(data[: max(0, remaining)])
                     await asyncio.sleep(0.01)
                     self.abort(pair)
                     return
-            passed += len(data)
-            self.passed += len(data)
+            forwarded_bytes += len(data)
+            self.forwarded_bytes += len(data)
             try:
                 if not data:
                     writer.write_eof()
@@ -104,7 +104,7 @@
         for item in set(writers):
             item.transport.abort()
 
-    async def watch(self) -> None:
+    async def watch_faults(self) -> None:
         while True:
             await asyncio.sleep(0.01)
             if self.faults.cut_now or (self.faults.refuse and self.writers):
@@ -118,13 +118,13 @@
         return app
 
     async def audit(self, request: web.Request) -> web.Response:
-        return reply({"passed": self.passed})
+        return reply({"passed": self.forwarded_bytes})
 
     async def start(self, app: web.Application) -> None:
         app["server"] = await asyncio.start_server(self.handle, "127.0.0.1", self.parameters.port)
-        app["watch"] = asyncio.create_task(self.watch())
+        app["watch"] = asyncio.create_task(self.watch_faults())
 
 
 if __name__ == "__main__":
-    given = parameters(Parameters)
+    given = parse_parameters(Parameters)
     serve(given.control, lambda: Proxy(given).application())
--- a/tests/standins/serving.py
+++ b/tests/standins/serving.py
@@ -12,7 +12,7 @@
 T = TypeVar("T")
 
 
-def parameters(kind: type[T]) -> T:
+def parse_parameters(kind: type[T]) -> T:
     return msgspec.json.decode(sys.argv[1], type=kind)
 
 
--- a/tests/standins/store.py
+++ b/tests/standins/store.py
@@ -14,7 +14,7 @@
 
 from stairquay.adapters.store import Catalogue, CatalogueChange
 from stairquay.core.residency import Segment
-from tests.standins.serving import fault_route, parameters, reply, serve
+from tests.standins.serving import fault_route, parse_parameters, reply, serve
 
 BLOCK_PAYLOAD = 32
 """Bytes that stand for one block; the link is charged for the real size."""
@@ -37,7 +37,7 @@
 
 
 @dataclass
-class Data:
+class StoredSegment:
     slots: list[int]
     block_bytes: int
 
@@ -45,13 +45,13 @@
 @dataclass
 class Link:
     busy_until: float = 0.0
-    moved: int = 0
+    transferred_bytes: int = 0
 
-    async def move(self, size: int, rate: float) -> None:
+    async def transfer(self, size: int, rate: float) -> None:
         """Wait until the link has moved some bytes, after those that were asked for before."""
         start = max(time.monotonic(), self.busy_until)
         self.busy_until = start + size / rate
-        self.moved += size
+        self.transferred_bytes += size
         await asyncio.sleep(self.busy_until - time.monotonic())
 
 
@@ -75,7 +75,7 @@
         self.faults = Faults()
         self.incarnation = secrets.token_hex(4)
         self.memory = Memory()
-        self.data_by_name: dict[str, Data] = {}
+        self.data_by_name: dict[str, StoredSegment] = {}
         self.manifests: dict[str, Segment] = {}
         self.log: list[CatalogueChange] = []
         self.link = Link()
@@ -138,13 +138,13 @@
 
     async def put_data(self, request: web.Request) -> web.Response:
         block_bytes = int(request.headers["X-Block-Bytes"])
-        data = self.data_by_name.setdefault(request.match_info["name"], Data([], block_bytes))
+        data = self.data_by_name.setdefault(request.match_info["name"], StoredSegment([], block_bytes))
         try:
             while True:
                 payload = await request.content.readexactly(BLOCK_PAYLOAD)
                 if self.faults.full or self.used() + block_bytes > self.parameters.capacity:
                     return web.Response(status=507)
-                await self.link.move(block_bytes, self.rate())
+                await self.link.transfer(block_bytes, self.rate())
                 data.slots.append(self.memory.write(payload))
         except asyncio.IncompleteReadError:
             return web.Response(text="ok")
@@ -160,7 +160,7 @@
         await answer.prepare(request)
         for slot in slots:
             await asyncio.sleep(self.faults.read_pause_s)
-            await self.link.move(data.block_bytes, self.rate())
+            await self.link.transfer(data.block_bytes, self.rate())
             payload = self.memory.slots[slot]
             await answer.write(bytes(BLOCK_PAYLOAD) if self.faults.corrupt else payload)
         await answer.write_eof()
@@ -175,7 +175,7 @@
     async def audit(self, request: web.Request) -> web.Response:
         return reply(
             {
-                "moved": self.link.moved,
+                "moved": self.link.transferred_bytes,
                 "used": self.used(),
                 "manifests": len(self.manifests),
                 "data": len(self.data_by_name),
@@ -184,5 +184,5 @@
 
 
 if __name__ == "__main__":
-    given = parameters(Parameters)
+    given = parse_parameters(Parameters)
     serve(given.port, lambda: Store(given).application())
