--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -191,7 +191,7 @@
         self.table.remove("servers", endpoint.id)
         self.starts += 1
         endpoint.id = f"{endpoint.id.partition('+')[0]}+{self.starts}"
-        await endpoint.again()
+        await endpoint.restart()
         self.table.put("servers", endpoint.id, endpoint.entry())
 
 
@@ -200,8 +200,8 @@
     async with several_boxes(boxes) as sites:
         for endpoint in sites[0].endpoints:
             endpoint.crashes_on = b"POISON"
-            endpoint.heard = bool(endpoint.model)
-            endpoint.events_made, endpoint.event_s = 12, 0.02
+            endpoint.crash_after_head = bool(endpoint.model)
+            endpoint.event_count, endpoint.event_s = 12, 0.02
         played = Soak(sites, Random(seed), seconds)
         outcome = await played.run()
         if story is not None:
--- a/tests/soak_statements.py
+++ b/tests/soak_statements.py
@@ -200,11 +200,11 @@
         chance = Random(self.chance.random())
         while self._left():
             await asyncio.sleep(chance.uniform(2.0, 12.0))
-            endpoint.rest = chance.choice(RESTS)
-            if endpoint.rest == "a date":
+            endpoint.retry_after = chance.choice(RESTS)
+            if endpoint.retry_after == "a date":
                 until = datetime.now(UTC).replace(microsecond=0) + timedelta(seconds=4)
-                endpoint.rest = format_datetime(until, usegmt=True)
-                self.rest_until[endpoint.rest] = now_s() + (until - datetime.now(UTC)).total_seconds()
+                endpoint.retry_after = format_datetime(until, usegmt=True)
+                self.rest_until[endpoint.retry_after] = now_s() + (until - datetime.now(UTC)).total_seconds()
             endpoint.refuse = 100_000
             await asyncio.sleep(chance.uniform(0.5, 4.0))
             endpoint.refuse = 0
@@ -239,13 +239,13 @@
 
     async def _heal(self) -> None:
         """Send requests until all endpoints have got some again, or for a while."""
-        before = {endpoint.id: len(endpoint.arrived) for endpoint in self.endpoints}
+        before = {endpoint.id: len(endpoint.arrivals) for endpoint in self.endpoints}
         until = now_s() + 20.0
         while now_s() < until and self.outcome.healed < len(self.endpoints):
             both = (box.call("/plain/x", call_id="heal") for box in self.boxes for _ in range(4))
             prompts = (box.prompt("/again/x", call_id="heal") for box in self.boxes for _ in range(8))
             await asyncio.gather(*both, *prompts)
-            got = (len(endpoint.arrived) - before[endpoint.id] > 5 for endpoint in self.endpoints)
+            got = (len(endpoint.arrivals) - before[endpoint.id] > 5 for endpoint in self.endpoints)
             self.outcome.healed = sum(got)
 
     def _in_touch(self, box: str, at: float) -> bool:
@@ -257,12 +257,12 @@
     def _judge_leaving(self, endpoint: Endpoint) -> None:
         """Nothing comes from a box later than it may after the same life told it that it leaves."""
         told: dict[tuple[str, float], float] = {}
-        for at, call_id in endpoint.told_leaving:
+        for at, call_id in endpoint.leaving_sent:
             box = self.box_by_call.get(call_id)
             if box is not None:
                 self.outcome.leavings += 1
                 told.setdefault((box, self._life_at(endpoint, at)), at)
-        for at, call_id in endpoint.arrived:
+        for at, call_id in endpoint.arrivals:
             box = self.box_by_call.get(call_id)
             if box is None:
                 continue
@@ -276,7 +276,7 @@
 
     def _judge_rests(self, endpoint: Endpoint) -> None:
         """No more than two come from a box while an endpoint has asked it for rest."""
-        for at, call_id, text in endpoint.rested:
+        for at, call_id, text in endpoint.retry_after_sent:
             box = self.box_by_call.get(call_id)
             until = self._rest_until(at, text)
             if box is None or self._away_between(box, at, until):
@@ -286,7 +286,7 @@
             self.outcome.rests += 1
             got = sum(
                 at + REST_KNOWN_S < sent < until and self.box_by_call.get(other) == box
-                for sent, other in endpoint.arrived
+                for sent, other in endpoint.arrivals
             )
             if got > MOST_AT_REST:
                 self.outcome.broken.append(f"{endpoint.id}: {got} from {box} in {until - at:.2f} s of rest")
@@ -302,18 +302,18 @@
         since = max([naming.limits[0][0], *lives])
         told = [
             told_at
-            for told_at, call_id in endpoint.named
+            for told_at, call_id in endpoint.limits_sent
             if since <= told_at <= at and self.box_by_call.get(call_id) == box
         ]
         return min(told, default=float("inf"))
 
     def _judge(self, endpoint: Endpoint, naming: Naming) -> None:
-        told = [at for at, _ in endpoint.named if naming.limits[0][0] <= at < naming.until]
+        told = [at for at, _ in endpoint.limits_sent if naming.limits[0][0] <= at < naming.until]
         if not told:
             return
         counted = [
             at
-            for at, call_id in endpoint.arrived
+            for at, call_id in endpoint.arrivals
             if told[0] <= at < naming.until
             and (box := self.box_by_call.get(call_id)) is not None
             and self._in_touch(box, at)
@@ -336,7 +336,7 @@
         """Return what came in a window, by box, in seconds from its start."""
         came = [
             f"{self.box_by_call.get(call_id)} {at - start:.2f}"
-            for at, call_id in endpoint.arrived
+            for at, call_id in endpoint.arrivals
             if start <= at < start + WINDOW_S
         ]
         return f"{endpoint.id}, limit {limit}, life {endpoint.born}: {', '.join(came)}"
@@ -346,9 +346,9 @@
     """Play a soak, and return what it showed."""
     async with several_boxes(boxes) as sites:
         for endpoint in sites[0].endpoints:
-            endpoint.hold_s, endpoint.born = 0.03, 1_000
+            endpoint.delay_s, endpoint.born = 0.03, 1_000
             sites[0].table.put("servers", endpoint.id, endpoint.entry())
-            endpoint.events_made, endpoint.event_s = 6, 0.02
+            endpoint.event_count, endpoint.event_s = 6, 0.02
         return await Soak(sites, Random(seed), seconds).run()
 
 
--- a/tests/standins/dialect.py
+++ b/tests/standins/dialect.py
@@ -17,7 +17,7 @@
 
 
 @dataclass
-class Taken:
+class ReceivedRequest:
     """A request as an endpoint took it."""
 
     id: str
@@ -28,25 +28,25 @@
 
 
 @dataclass
-class Holder:
+class CacheServer:
     """What engines and store boxes have in common: kept parts, told by events and lists."""
 
-    life: int = 1
+    incarnation: int = 1
     parts_by_key: dict[tuple[str, str], int] = field(default_factory=dict)
     events: list[list[Any]] = field(default_factory=list)
     freed: list[tuple[str, str]] = field(default_factory=list)
     silent: bool = False
     clock_ms: int = 1_000_000
 
-    def keep(self, scope: str, part: str, tokens: int) -> None:
+    def add_part(self, scope: str, part: str, tokens: int) -> None:
         self.parts_by_key[scope, part] = tokens
         self.events.append([len(self.events) + 1, "+", scope, part, tokens, "m"])
 
-    def drop(self, scope: str, part: str) -> None:
+    def remove_part(self, scope: str, part: str) -> None:
         self.parts_by_key.pop((scope, part), None)
         self.events.append([len(self.events) + 1, "-", scope, part, 0, "m"])
 
-    async def kept(self, request: web.Request) -> web.Response | None:
+    async def handle_cache_request(self, request: web.Request) -> web.Response | None:
         """Answer a call about what is kept, None where it is another call."""
         if self.silent and request.path.startswith("/-/"):
             await asyncio.sleep(30)
@@ -55,7 +55,9 @@
         if request.path == "/-/kv-list":
             held = [[scope, part, tokens, "m"] for (scope, part), tokens in self.parts_by_key.items()]
             position = len(self.events)
-            return web.json_response({"boot_epoch": self.life, "next_page_token": position, "held": held})
+            return web.json_response(
+                {"boot_epoch": self.incarnation, "next_page_token": position, "held": held}
+            )
         if request.path == "/-/kv-free":
             return await self._free(request)
         return None
@@ -66,7 +68,7 @@
         while len(self.events) <= since and asyncio.get_running_loop().time() < end:
             await asyncio.sleep(0.02)
         answer = {
-            "boot_epoch": self.life,
+            "boot_epoch": self.incarnation,
             "next_page_token": len(self.events),
             "lost": False,
             "events": self.events[since:],
@@ -76,16 +78,16 @@
 
     async def _free(self, request: web.Request) -> web.Response:
         body = await request.json()
-        if body.get("boot_epoch") not in (None, self.life):
+        if body.get("boot_epoch") not in (None, self.incarnation):
             return web.Response(status=409)
         for scope, part in body["parts"]:
             self.freed.append((scope, part))
-            self.drop(scope, part)
+            self.remove_part(scope, part)
         return web.json_response({})
 
 
 @dataclass
-class StoreBox(Holder):
+class StoreBox(CacheServer):
     """A store box."""
 
     address: str = ""
@@ -95,11 +97,11 @@
         self.runner, self.address = await serve_app(self._handle)
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
-        return await self.kept(request) or web.Response(status=404)
+        return await self.handle_cache_request(request) or web.Response(status=404)
 
 
 @dataclass
-class Endpoint(Holder):
+class Endpoint(CacheServer):
     """A plain service's endpoint, or an engine. Faults are fields:
 
     refuse: this many requests are turned away, each after refuse_s. errors: this many runs end in 500. stray:
@@ -117,25 +119,25 @@
     service: str = "plain"
     model: str = ""
     version: int = 1
-    events_made: int = 5
+    event_count: int = 5
     event_s: float = 0.005
     refuse: int = 0
     refuse_s: float = 0.0
     errors: int = 0
-    stray: int = 0
+    wrong_id: int = 0
     unsigned: int = 0
     break_after: int | None = None
-    hold_s: float = 0.0
+    delay_s: float = 0.0
     unframed_reset: int = 0
     crashes_on: bytes = b""
     crash_s: float = 0.02
-    heard: bool = False
+    crash_after_head: bool = False
     on_poison: Callable[[str, bytes, bool], None] = lambda call_id, body, crashed: None
     crashed: bool = False
     keep_alive: str = ""
     limit: str | None = None
     leaving: str | None = None
-    rest: str | None = None
+    retry_after: str | None = None
     lose_orders: int = 0
     load_s: float = 0.1
     queued: int = 0
@@ -144,15 +146,15 @@
     hall: str = "hall-a"
     born: int = 0
     cold_ms: int = 0
-    asked_report: int = 0
-    taken: list[Taken] = field(default_factory=list)
-    arrived: list[tuple[float, str]] = field(default_factory=list)
-    named: list[tuple[float, str]] = field(default_factory=list)
-    told_leaving: list[tuple[float, str]] = field(default_factory=list)
-    rested: list[tuple[float, str, str]] = field(default_factory=list)
+    report_requests: int = 0
+    received: list[ReceivedRequest] = field(default_factory=list)
+    arrivals: list[tuple[float, str]] = field(default_factory=list)
+    limits_sent: list[tuple[float, str]] = field(default_factory=list)
+    leaving_sent: list[tuple[float, str]] = field(default_factory=list)
+    retry_after_sent: list[tuple[float, str, str]] = field(default_factory=list)
     orders: list[dict[str, Any]] = field(default_factory=list)
-    ports: list[int] = field(default_factory=list)
-    left: int = 0
+    client_ports: list[int] = field(default_factory=list)
+    disconnects: int = 0
     address: str = ""
     runner: web.AppRunner | None = None
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -179,9 +181,9 @@
         return {"born": self.born} if self.born else {}
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
-        kept = await self.kept(request)
-        if kept is not None:
-            return kept
+        cache_response = await self.handle_cache_request(request)
+        if cache_response is not None:
+            return cache_response
         if request.path == "/-/report":
             return self._report()
         if request.path == "/-/order":
@@ -189,7 +191,7 @@
         return await self._run(request)
 
     def _report(self) -> web.Response:
-        self.asked_report += 1
+        self.report_requests += 1
         models = [{"name": self.model, "version": self.version, "adapters": []}]
         report = {"stage": "both", "models": models, "busy": self.busy, "sequence": self.sequence}
         report |= {"queued": self.queued, "next_page_token": 9_000, "running": 0, "kv_used": 0}
@@ -215,50 +217,50 @@
         self.version = version
         self.busy = False
 
-    def _said(self, call_id: str) -> dict[str, str]:
+    def _feedback_headers(self, call_id: str) -> dict[str, str]:
         """Return what each answer says of the endpoint's use."""
-        said = {}
+        headers = {}
         if self.limit is not None:
-            self.named.append((asyncio.get_running_loop().time(), call_id))
-            said["Server-Limit"] = self.limit
+            self.limits_sent.append((asyncio.get_running_loop().time(), call_id))
+            headers["Server-Limit"] = self.limit
         if self.leaving is not None:
-            self.told_leaving.append((asyncio.get_running_loop().time(), call_id))
-            said["Server-Leaving"] = self.leaving
-        return said
+            self.leaving_sent.append((asyncio.get_running_loop().time(), call_id))
+            headers["Server-Leaving"] = self.leaving
+        return headers
 
     async def _run(self, request: web.Request) -> web.StreamResponse:
         call_id = request.headers.get("Request-Id", "")
-        wanted = request.headers.get("Target-Instance", self.id)
+        target_id = request.headers.get("Target-Instance", self.id)
         version = request.headers.get("Expect-Version", str(self.version))
-        if wanted != self.id or version != str(self.version):
+        if target_id != self.id or version != str(self.version):
             return web.Response(status=421, headers={"Instance-Id": self.id})
-        self.arrived.append((asyncio.get_running_loop().time(), call_id))
+        self.arrivals.append((asyncio.get_running_loop().time(), call_id))
         if self.refuse:
             self.refuse -= 1
             await asyncio.sleep(self.refuse_s)
-            headers = {"Not-Executed": "1", "Request-Id": call_id, **self._said(call_id)}
-            if self.rest is not None:
-                self.rested.append((asyncio.get_running_loop().time(), call_id, self.rest))
-                headers["Retry-After"] = self.rest
+            headers = {"Not-Executed": "1", "Request-Id": call_id, **self._feedback_headers(call_id)}
+            if self.retry_after is not None:
+                self.retry_after_sent.append((asyncio.get_running_loop().time(), call_id, self.retry_after))
+                headers["Retry-After"] = self.retry_after
             return web.Response(status=503, headers=headers)
         body = await request.read()
         assert request.transport is not None
-        self.ports.append(request.transport.get_extra_info("peername")[1])
-        self.taken.append(
-            Taken(call_id, request.method, request.raw_path, CIMultiDict(request.headers), body)
+        self.client_ports.append(request.transport.get_extra_info("peername")[1])
+        self.received.append(
+            ReceivedRequest(call_id, request.method, request.raw_path, CIMultiDict(request.headers), body)
         )
         try:
-            await asyncio.sleep(self.hold_s)
+            await asyncio.sleep(self.delay_s)
             if self.crashes_on and self.crashes_on in body:
                 self.on_poison(call_id, body, False)
-                if self.heard:
+                if self.crash_after_head:
                     await self._begin_answer(request, call_id)
                 await asyncio.sleep(self.crash_s)
                 self.on_poison(call_id, body, True)
                 return self.crash()
             return await self._answer(request, call_id)
         except asyncio.CancelledError:
-            self.left += 1
+            self.disconnects += 1
             raise
 
     async def _begin_answer(self, request: web.Request, call_id: str) -> None:
@@ -278,7 +280,7 @@
                 connection.transport.abort()
         return web.Response()
 
-    async def again(self) -> None:
+    async def restart(self) -> None:
         """Start again after a crash, at another address."""
         assert self.runner is not None
         await self.runner.cleanup()
@@ -290,12 +292,12 @@
             "Request-Id": call_id,
             "Response-Signature": f"sig-{self.id}",
             "Versions": str(self.version),
-            **self._said(call_id),
+            **self._feedback_headers(call_id),
         }
         if self.keep_alive:
             headers["Keep-Alive"] = self.keep_alive
-        if self.stray:
-            self.stray -= 1
+        if self.wrong_id:
+            self.wrong_id -= 1
             headers["Request-Id"] = "somebody-else"
         if self.unsigned:
             self.unsigned -= 1
@@ -315,7 +317,7 @@
         response.enable_chunked_encoding()
         await response.prepare(request)
         first = int(request.headers.get("Last-Event-Id", "0")) + 1
-        for number in range(first, self.events_made + 1):
+        for number in range(first, self.event_count + 1):
             await response.write(f"id: {number}\ndata: piece {number}\n\n".encode())
             await asyncio.sleep(self.event_s)
             if number == self.break_after:
--- a/tests/test_box.py
+++ b/tests/test_box.py
@@ -13,7 +13,7 @@
             answer = await here.call("/plain/a%2Fb?x=1", "PUT", headers={"Tenant": "forged"}, body=b"body")
             assert (answer.status, answer.body) == (200, b"answer of p-0")
             assert answer.headers["Response-Signature"] == "sig-p-0"
-            taken = here.endpoints[0].taken[0]
+            taken = here.endpoints[0].received[0]
             assert (taken.method, taken.target, taken.body) == ("PUT", "/plain/a%2Fb?x=1", b"body")
             assert taken.headers["Tenant"] == "w1"
             assert "Authorization" not in taken.headers
@@ -31,7 +31,7 @@
         async with site(engines=1) as here:
             answer = await here.prompt(headers=forged)
             assert answer.status == 200
-            headers = here.engines()[0].taken[0].headers
+            headers = here.engines()[0].received[0].headers
             assert not any(name in headers for name in forged if name.startswith(("Hold", "Pin", "Kv")))
             assert headers["Cache-Salt"] == "/m/1" and headers["Expect-Version"] == "1"
             assert headers["Priority"] == "5" and headers["X-Kept"] == "yes"
@@ -51,7 +51,7 @@
             assert (await here.call("/plain/x", call_id="")).status == 400
             assert (await here.prompt("/plain/x", headers={"Prompt-Prefix": "aa:x"})).status == 400
             assert (await here.call("/plain/x", "POST", body=b"x" * 20_000)).status == 413
-            assert len(here.endpoints[0].taken) == 1
+            assert len(here.endpoints[0].received) == 1
             assert (await here.call("/plain/x")).status == 200
 
     asyncio.run(scenario())
@@ -66,11 +66,11 @@
             again = await here.call("/plain/x")
             assert again.status == 500 and again.body == b"broken"
             assert again.headers["Response-Signature"].startswith("sig-")
-            assert sum(len(item.taken) for item in here.endpoints) == 2
+            assert sum(len(item.received) for item in here.endpoints) == 2
             for endpoint in here.endpoints:
                 endpoint.errors = 1
             assert (await here.call("/once/x", "POST", body=b"x")).status == 500
-            assert sum(len(item.taken) for item in here.endpoints) == 3
+            assert sum(len(item.received) for item in here.endpoints) == 3
 
     asyncio.run(scenario())
 
@@ -82,9 +82,9 @@
     async def call_until(here: Site, end: float) -> None:
         """Send requests that fail everywhere, and note when each ended and how often it was sent again."""
         while asyncio.get_running_loop().time() < end:
-            before = sum(len(item.taken) for item in here.endpoints)
+            before = sum(len(item.received) for item in here.endpoints)
             await here.call("/plain/x", call_id=f"c-{len(calls)}")
-            arrivals = sum(len(item.taken) for item in here.endpoints) - before
+            arrivals = sum(len(item.received) for item in here.endpoints) - before
             calls.append((asyncio.get_running_loop().time(), max(0, arrivals - 1)))
             await asyncio.sleep(0.05)
 
@@ -115,7 +115,7 @@
             here.endpoints[0].refuse = here.endpoints[1].refuse = 1
             refused = await here.call("/once/x", "POST", body=b"x")
             assert refused.status == 503 and float(refused.headers["Retry-After"]) > 0
-            assert not any(item.taken for item in here.endpoints)
+            assert not any(item.received for item in here.endpoints)
             here.endpoints[0].refuse = 1
             assert (await here.call("/once/x", "POST", body=b"x")).status == 200
 
@@ -126,7 +126,7 @@
     async def scenario():
         async with site(budget_window_s=1) as here:
             await here.until_retry_budget_full()
-            here.endpoints[0].stray = 1
+            here.endpoints[0].wrong_id = 1
             assert (await here.call("/once/x", "POST", body=b"x")).status == 502
             here.endpoints[0].unsigned = 1
             assert (await here.call("/once/y", "POST", body=b"x")).status == 502
@@ -149,10 +149,10 @@
 def test_the_time_of_a_route_ends_a_request_with_a_final_answer():
     async def scenario():
         async with site() as here:
-            here.endpoints[0].hold_s = 5.0
+            here.endpoints[0].delay_s = 5.0
             answer = await here.call("/short/x")
             assert answer.status == 504 and answer.took_s < 0.8
-            await eventually(lambda: here.endpoints[0].left == 1)
+            await eventually(lambda: here.endpoints[0].disconnects == 1)
 
     asyncio.run(scenario())
 
@@ -160,11 +160,11 @@
 def test_a_caller_that_leaves_ends_the_run():
     async def scenario():
         async with site() as here:
-            here.endpoints[0].hold_s = 5.0
+            here.endpoints[0].delay_s = 5.0
             task = asyncio.create_task(here.call("/plain/x"))
-            await eventually(lambda: here.endpoints[0].taken)
+            await eventually(lambda: here.endpoints[0].received)
             task.cancel()
-            await eventually(lambda: here.endpoints[0].left == 1, 0.5)
+            await eventually(lambda: here.endpoints[0].disconnects == 1, 0.5)
 
     asyncio.run(scenario())
 
@@ -189,7 +189,7 @@
             for engine in here.engines():
                 engine.break_after = 3
             answer = await here.prompt("/again/chat")
-            taken = [item for engine in here.engines() for item in engine.taken]
+            taken = [item for engine in here.engines() for item in engine.received]
             assert len(taken) == 2
             assert sorted(item.headers.get("Last-Event-Id", "0") for item in taken) == ["0", "3"]
             assert answer.complete and answer.events == [1, 2, 3, 4, 5]
@@ -202,13 +202,13 @@
         async with site() as here:
             async with ClientSession() as kept:
                 assert (await here.call("/plain/x", session=kept)).status == 200
-                here.endpoints[0].hold_s = 1.5
+                here.endpoints[0].delay_s = 1.5
                 under_way = asyncio.create_task(here.call("/plain/y"))
-                await eventually(lambda: len(here.endpoints[0].taken) == 2)
+                await eventually(lambda: len(here.endpoints[0].received) == 2)
                 here.stop_box()
                 await eventually(lambda: _unready(here))
                 assert (await under_way).status == 200
-                here.endpoints[0].hold_s = 0.0
+                here.endpoints[0].delay_s = 0.0
                 still = await here.call("/plain/z", session=kept)
                 assert still.status == 200 and still.headers["Connection"] == "close"
                 await eventually(lambda: here.logged("stop", outcome="refusing"), 5.0)
@@ -225,9 +225,9 @@
 def test_a_request_long_after_the_stop_signal_is_refused_at_once_and_not_run():
     async def scenario():
         async with site() as here:
-            here.endpoints[0].hold_s = 4.5
+            here.endpoints[0].delay_s = 4.5
             under_way = asyncio.create_task(here.call("/plain/y", headers={"Deadline-Ms": "9000"}))
-            await eventually(lambda: here.endpoints[0].taken)
+            await eventually(lambda: here.endpoints[0].received)
             async with ClientSession() as kept:
                 here.stop_box()
                 await asyncio.sleep(2.6)
@@ -236,7 +236,7 @@
                 await eventually(lambda: here.logged("stop", outcome="refusing"), 5.0)
                 late = await here.call("/plain/late", session=kept)
             assert late.status in (0, 503)
-            assert len(here.endpoints[0].taken) == 1
+            assert len(here.endpoints[0].received) == 1
             await under_way
 
     asyncio.run(scenario())
@@ -262,7 +262,7 @@
             for pause_s in (0.0, 0.2, 1.1):
                 await asyncio.sleep(pause_s)
                 assert (await here.call("/once/x", "POST", body=b"x")).status == 200
-            assert endpoint.ports[0] == endpoint.ports[1] != endpoint.ports[2]
+            assert endpoint.client_ports[0] == endpoint.client_ports[1] != endpoint.client_ports[2]
 
     asyncio.run(scenario())
 
@@ -270,11 +270,11 @@
 def test_a_box_takes_no_more_requests_than_it_can_hold():
     async def scenario():
         async with site(limits={"max_fds": 9, "memory_mb": 100}) as here:
-            here.endpoints[0].hold_s = 1.0
+            here.endpoints[0].delay_s = 1.0
             calls = [here.call("/plain/x", call_id=f"call-{number}") for number in range(6)]
             statuses = sorted(answer.status for answer in await asyncio.gather(*calls))
             assert statuses == [200, 200, 200, 503, 503, 503]
-            here.endpoints[0].hold_s = 0.0
+            here.endpoints[0].delay_s = 0.0
             assert (await here.call("/plain/x")).status == 200
 
     asyncio.run(scenario())
@@ -287,11 +287,11 @@
             for engine in here.engines():
                 engine.break_after, engine.event_s = 3, 0.1
             call = asyncio.create_task(here.prompt("/again/chat"))
-            await eventually(lambda: any(engine.taken for engine in here.engines()))
-            other = next(engine for engine in here.engines() if not engine.taken)
+            await eventually(lambda: any(engine.received for engine in here.engines()))
+            other = next(engine for engine in here.engines() if not engine.received)
             other.errors = 1
             answer = await call
-            assert len(other.taken) == 1
+            assert len(other.received) == 1
             assert not answer.complete and answer.events == [1, 2, 3]
             assert b"broken" not in answer.body and b"HTTP/" not in answer.body
 
--- a/tests/test_box_state.py
+++ b/tests/test_box_state.py
@@ -78,13 +78,13 @@
         async with site(plain=2, revoke_ms=1500, budget_window_s=1) as here:
             await here.until_retry_budget_full()
             for endpoint in here.endpoints:
-                endpoint.errors, endpoint.hold_s = 1, 2.0
+                endpoint.errors, endpoint.delay_s = 1, 2.0
             task = asyncio.create_task(here.call("/plain/x"))
-            await eventually(lambda: any(item.taken for item in here.endpoints))
+            await eventually(lambda: any(item.received for item in here.endpoints))
             here.table.down = True
             answer = await task
             assert answer.status == 500
-            assert sum(len(item.taken) for item in here.endpoints) == 1
+            assert sum(len(item.received) for item in here.endpoints) == 1
 
     asyncio.run(scenario())
 
@@ -108,12 +108,12 @@
             await eventually(lambda: here.logged("endpoints", endpoint="p-0", standing="leaving"), 2.0)
             for _ in range(6):
                 assert (await here.call("/plain/x")).status == 200
-            assert not here.endpoints[0].taken and len(here.endpoints[1].taken) == 6
+            assert not here.endpoints[0].received and len(here.endpoints[1].received) == 6
             here.table.put("servers", "p-0", here.endpoints[0].entry())
             await asyncio.sleep(1.0)
             for _ in range(4):
                 await here.call("/plain/x")
-            assert not here.endpoints[0].taken
+            assert not here.endpoints[0].received
 
     asyncio.run(scenario())
 
@@ -138,9 +138,9 @@
 def test_a_hangup_signal_reads_the_settings_anew_and_cuts_nothing():
     async def scenario():
         async with site() as here:
-            here.endpoints[0].hold_s = 1.0
+            here.endpoints[0].delay_s = 1.0
             under_way = asyncio.create_task(here.call("/plain/x"))
-            await eventually(lambda: here.endpoints[0].taken)
+            await eventually(lambda: here.endpoints[0].received)
             here.bounds["revoke_ms"] = 1000
             here.write_settings()
             here.box.send_signal(signal.SIGHUP)
@@ -196,7 +196,7 @@
             await asyncio.sleep(1.2)
             refused = await here.prompt("/llm/chat")
             assert refused.status == 503 and float(refused.headers["Retry-After"]) > 0
-            assert not here.engines()[0].taken
+            assert not here.engines()[0].received
             assert (await here.prompt("/again/chat", call_id="call-2")).status == 200
             await eventually(lambda: here.logged("refused", cause="overloaded"))
 
@@ -283,7 +283,7 @@
             await here.call("/nowhere/x", call_id="lost-1")
             here.table.put("op", f"version/{MODEL}", {"model": MODEL, "version": 2})
             await eventually(lambda: here.engines()[0].version == 2, 8.0)
-            here.endpoints[0].refuse, here.endpoints[0].rest, here.endpoints[0].leaving = 1, "2", "1"
+            here.endpoints[0].refuse, here.endpoints[0].retry_after, here.endpoints[0].leaving = 1, "2", "1"
             await here.call("/plain/x", call_id="rest-1")
             here.stop_box()
             await asyncio.wait_for(here.box.wait(), 8.0)
--- a/tests/test_box_weights.py
+++ b/tests/test_box_weights.py
@@ -9,7 +9,7 @@
 async def keep_a_part(here: Site) -> StoreBox:
     """Have the first store box keep a part, and wait until the box has read what it keeps."""
     store = here.stores[0]
-    store.keep(SCOPE, "aa", 500)
+    store.add_part(SCOPE, "aa", 500)
     await eventually(lambda: here.logged("store_view", outcome="read"))
     return store
 
@@ -26,7 +26,7 @@
             assert all(order["expected"] == 0 for order in orders)
             answer = await here.prompt()
             assert answer.status == 200
-            taken = [item for engine in here.engines() for item in engine.taken][-1]
+            taken = [item for engine in here.engines() for item in engine.received][-1]
             assert taken.headers["Expect-Version"] == "2" and taken.headers["Cache-Salt"] == "/m/2"
 
     asyncio.run(scenario())
@@ -83,15 +83,15 @@
             store = here.stores[0]
             await eventually(lambda: here.logged("store_view", outcome="read"))
             assert (await here.prompt()).status == 200
-            first = next(item for engine in here.engines() for item in engine.taken)
+            first = next(item for engine in here.engines() for item in engine.received)
             assert first.headers["Kv-Save"] == f"{store.address},{store.address},-"
-            store.keep(SCOPE, "aa", 500)
-            store.keep(SCOPE, "bb", 300)
+            store.add_part(SCOPE, "aa", 500)
+            store.add_part(SCOPE, "bb", 300)
             await asyncio.sleep(1.0)
             for engine in here.engines():
-                engine.taken.clear()
+                engine.received.clear()
             assert (await here.prompt(call_id="call-2")).status == 200
-            second = next(item for engine in here.engines() for item in engine.taken)
+            second = next(item for engine in here.engines() for item in engine.received)
             assert "Kv-Save" not in second.headers
             assert store.address in second.headers["Kv-Fetch"]
             assert int(second.headers["Kv-Until"]) > store.clock_ms
@@ -105,11 +105,11 @@
             store = await keep_a_part(here)
             await asyncio.sleep(0.5)
             assert (await here.prompt()).status == 200
-            assert store.address in here.engines()[0].taken[0].headers["Kv-Fetch"]
-            store.life, store.parts_by_key, store.events = 2, {}, []
+            assert store.address in here.engines()[0].received[0].headers["Kv-Fetch"]
+            store.incarnation, store.parts_by_key, store.events = 2, {}, []
             await eventually(lambda: here.logged("store_view", cause="started anew"), 3.0)
             await here.prompt(call_id="call-2")
-            assert store.address not in here.engines()[0].taken[1].headers.get("Kv-Fetch", "")
+            assert store.address not in here.engines()[0].received[1].headers.get("Kv-Fetch", "")
 
     asyncio.run(scenario())
 
@@ -122,7 +122,7 @@
             store.silent = True
             await eventually(lambda: here.logged("store_view", cause="silent"), 4.0)
             await here.prompt()
-            assert store.address not in here.engines()[0].taken[0].headers.get("Kv-Fetch", "")
+            assert store.address not in here.engines()[0].received[0].headers.get("Kv-Fetch", "")
 
     asyncio.run(scenario())
 
@@ -131,9 +131,9 @@
     async def scenario():
         async with site(plain=0, engines=1) as here:
             assert (await here.prompt(key="key-two")).status == 200
-            assert here.engines()[0].taken[0].headers["Cache-Salt"] == "w2/m/1"
+            assert here.engines()[0].received[0].headers["Cache-Salt"] == "w2/m/1"
             assert (await here.prompt(key=KEY, call_id="call-2")).status == 200
-            assert here.engines()[0].taken[1].headers["Cache-Salt"] == "/m/1"
+            assert here.engines()[0].received[1].headers["Cache-Salt"] == "/m/1"
 
     asyncio.run(scenario())
 
@@ -142,8 +142,8 @@
     async def scenario():
         async with site(plain=0, engines=1, stores=1) as here:
             store = here.stores[0]
-            store.keep("/m/1", "aa", 500)
-            store.keep("/m/2", "aa", 500)
+            store.add_part("/m/1", "aa", 500)
+            store.add_part("/m/2", "aa", 500)
             await eventually(lambda: here.logged("store_view", outcome="read"))
             await asyncio.sleep(1.0)
             assert not store.freed
@@ -164,7 +164,7 @@
             for engine in here.engines():
                 engine.silent = True
             # The engine that keeps the prompt is chosen again.
-            keeps = next(engine for engine in here.engines() if engine.taken)
+            keeps = next(engine for engine in here.engines() if engine.received)
             keeps.version = 3
             for number in range(6):
                 assert (await here.prompt(call_id=f"call-{number}")).status == 200
@@ -191,6 +191,6 @@
             await eventually(lambda: here.logged("version_named", version=2))
             await asyncio.sleep(1.6)
             answer = await here.prompt()
-            assert answer.status == 503 and not here.engines()[0].taken
+            assert answer.status == 503 and not here.engines()[0].received
 
     asyncio.run(scenario())
--- a/tests/test_boxes.py
+++ b/tests/test_boxes.py
@@ -83,7 +83,7 @@
         async with site(plain=1, engines=1) as here:
             await until_written(here)
             plain, engine = here.endpoints
-            plain.refuse, plain.rest, engine.leaving = 1, "30", "1"
+            plain.refuse, plain.retry_after, engine.leaving = 1, "30", "1"
             assert (await here.call("/plain/x")).status == 503
             assert (await here.prompt()).status == 200
             out = (await shown(here))[1]
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -88,7 +88,7 @@
     async def scenario():
         async with armed() as here:
             for endpoint in here.endpoints:
-                endpoint.heard = True
+                endpoint.crash_after_head = True
             assert (await come(here, 4)).status == 503
             assert crashed(here) == 3
 
@@ -227,15 +227,15 @@
     """Have the endpoint crash that has the request that many send."""
     seen = len(here.logged("crashed"))
     for endpoint in here.endpoints:
-        endpoint.hold_s = 0.3
+        endpoint.delay_s = 0.3
     calling = asyncio.create_task(here.call("/open/x", key=None, call_id=call_id))
     await eventually(lambda: having(here, call_id))
     for endpoint in here.endpoints:
-        endpoint.hold_s = 0.0
+        endpoint.delay_s = 0.0
     having(here, call_id)[0].crash()
     await calling
     await eventually(lambda: len(here.logged("crashed")) > seen)
 
 
 def having(here: Site, call_id: str) -> list[Endpoint]:
-    return [item for item in here.endpoints if any(taken.id == call_id for taken in item.taken)]
+    return [item for item in here.endpoints if any(taken.id == call_id for taken in item.received)]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -42,7 +42,7 @@
 
 def busiest_window(endpoint: Endpoint, named_at: float) -> int:
     """Return the most requests that an endpoint got in a window, of those that begin once the limit binds."""
-    times = [at for at, _ in endpoint.arrived if at >= named_at + KNOWN_S]
+    times = [at for at, _ in endpoint.arrivals if at >= named_at + KNOWN_S]
     return max((sum(at <= other < at + WINDOW_S for other in times) for at in times), default=0)
 
 
@@ -50,7 +50,7 @@
     """Return the fewest requests that an endpoint got in a window from then on."""
     starts = [named_at + KNOWN_S + step / 10 for step in range(200)]
     return min(
-        sum(start <= at < start + WINDOW_S for at, _ in endpoint.arrived)
+        sum(start <= at < start + WINDOW_S for at, _ in endpoint.arrivals)
         for start in starts
         if start + WINDOW_S <= until
     )
@@ -111,7 +111,7 @@
             assert busiest_window(limited, began) <= borne(3)
             assert least_window(limited, began, clock()) >= 3 * WINDOW_S / 2
             assert [answer.status for answer in answers] == [200] * len(answers)
-            assert len(other.taken) > len(limited.taken)
+            assert len(other.received) > len(limited.received)
 
     asyncio.run(scenario())
 
@@ -183,17 +183,17 @@
         async with known_boxes(plain=2) as here:
             limited = here.endpoints[0]
             for endpoint in here.endpoints:
-                endpoint.hold_s = 0.05
+                endpoint.delay_s = 0.05
             for limit in ("0", "0.01", "1"):
                 limited.limit = limit
                 await press(lambda n, limit=limit: here.call("/plain/x", call_id=f"{limit}-{n}"), 20, 3.0)
                 limited.limit = None
-                before = len(limited.taken)
+                before = len(limited.received)
                 answers = await press(
                     lambda n, limit=limit: here.call("/plain/y", call_id=f"{limit}-e{n}"), 20, 8
                 )
                 assert [answer.status for answer in answers] == [200] * len(answers)
-                assert len(limited.taken) - before >= 20
+                assert len(limited.received) - before >= 20
 
     asyncio.run(scenario())
 
--- a/tests/test_many_boxes.py
+++ b/tests/test_many_boxes.py
@@ -19,7 +19,7 @@
             router.reply = reply_for("e-2", fetch_from=("", "10.0.0.9:1", ""), save_to=("10.0.0.8:1", "", ""))
             answer, asked = await prompt_until_placed(here, router, "call-7")
             assert answer.status == 200
-            taken = next(item for item in here.engines() if item.id == "e-2").taken[-1]
+            taken = next(item for item in here.engines() if item.id == "e-2").received[-1]
             assert taken.headers["Cache-Salt"] == SCOPE and taken.headers["Expect-Version"] == "1"
             assert taken.headers["Kv-Fetch"] == "-,10.0.0.9:1,-"
             assert taken.headers["Kv-Save"] == "10.0.0.8:1,-,-"
@@ -66,9 +66,9 @@
     async def scenario():
         async with routed_box(engines=1) as (here, router):
             router.reply = reply_for("e-0")
-            here.engines()[0].hold_s = 5.0
+            here.engines()[0].delay_s = 5.0
             leaving = asyncio.create_task(here.prompt(call_id="left-1"))
-            await eventually(lambda: here.engines()[0].taken)
+            await eventually(lambda: here.engines()[0].received)
             leaving.cancel()
             await asyncio.wait([leaving])
             await eventually(lambda: any(item.ticket == "left-1 0" for item in router.ended))
@@ -96,7 +96,7 @@
             router.reply = reply_for("e-0")
             for number in range(4):
                 assert (await here.prompt(call_id=f"call-{number}")).status == 200
-            assert not leaving.taken and len(here.engines()[1].taken) == 4
+            assert not leaving.received and len(here.engines()[1].received) == 4
             await eventually(lambda: len(router.ended) >= 4)
 
     asyncio.run(scenario())
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -23,7 +23,7 @@
 
 
 def taken_by(here: Site) -> dict[str, int]:
-    return {endpoint.id: len(endpoint.taken) for endpoint in here.endpoints}
+    return {endpoint.id: len(endpoint.received) for endpoint in here.endpoints}
 
 
 def borne_since(started_at: float) -> float:
@@ -132,15 +132,15 @@
     async def scenario():
         async with site(plain=0, engines=2, halls=HALLS) as here:
             for engine in here.engines():
-                engine.event_s, engine.events_made = 0.8, 8
+                engine.event_s, engine.event_count = 0.8, 8
             under_way = asyncio.create_task(here.prompt("/again/chat"))
-            await eventually(lambda: any(engine.taken for engine in here.engines()))
-            first, other = sorted(here.engines(), key=lambda engine: -len(engine.taken))
+            await eventually(lambda: any(engine.received for engine in here.engines()))
+            first, other = sorted(here.engines(), key=lambda engine: -len(engine.received))
             here.table.put("op", f"evacuate/{other.hall}", {})
             await asyncio.sleep(KNOWN_S)
             first.break_after = 5
             await under_way
-            assert not other.taken
+            assert not other.received
 
     asyncio.run(scenario())
 
@@ -152,9 +152,9 @@
             await announce_cold(here, engine)
             started_at = monotonic()
             answers = await answers_to_prompts(here, 40, "cold")
-            assert 0 < len(engine.taken) <= borne_since(started_at)
+            assert 0 < len(engine.received) <= borne_since(started_at)
             refused = [answer for answer in answers if answer.status == 503]
-            assert len(refused) + len(engine.taken) == len(answers)
+            assert len(refused) + len(engine.received) == len(answers)
             assert max(answer.took_s for answer in refused) < AT_ONCE_S
             assert min(float(answer.headers["Retry-After"]) for answer in refused) > 0
             # What it bears next comes soon, and is not withheld.
@@ -177,7 +177,7 @@
             await announce_cold(here, cold)
             started_at = monotonic()
             assert await prompts(here, 40, "mixed") == [200] * 40
-            assert len(cold.taken) <= borne_since(started_at)
+            assert len(cold.received) <= borne_since(started_at)
 
     asyncio.run(scenario())
 
--- a/tests/test_reading_once.py
+++ b/tests/test_reading_once.py
@@ -68,7 +68,7 @@
 def test_a_router_takes_a_notice_of_what_was_read():
     async def scenario():
         async with router_box(engines=2) as (here, link):
-            await eventually(lambda: all(engine.asked_report for engine in here.engines()))
+            await eventually(lambda: all(engine.report_requests for engine in here.engines()))
             assert (await link.place(question("t0"), 1.0)).read == 8_400
             assert (await link.place(question("t1", may_wait=True), 1.0)).again_s > 0
             await link.finished(FinishedNotice((), ("t0",)), 1.0)
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -68,10 +68,10 @@
             await asyncio.sleep(1.0)
             here.table.put("op", "evacuate/hall-a", {})
             await asyncio.sleep(KNOWN_S)
-            before = len(here.endpoints[0].taken)
+            before = len(here.endpoints[0].received)
             for number in range(10):
                 assert (await here.call("/plain/x", call_id=f"call-{number}")).status == 200
-            assert len(here.endpoints[0].taken) == before
+            assert len(here.endpoints[0].received) == before
 
     asyncio.run(scenario())
 
--- a/tests/test_router_box.py
+++ b/tests/test_router_box.py
@@ -55,7 +55,7 @@
 def test_a_router_spreads_what_it_places_and_counts_it_until_it_has_ended():
     async def scenario():
         async with router_box(engines=3) as (here, link):
-            await eventually(lambda: all(engine.asked_report for engine in here.engines()))
+            await eventually(lambda: all(engine.report_requests for engine in here.engines()))
             for number in range(ROUNDS):
                 await asyncio.sleep(0.4 if number == 0 else FORGOTTEN_S)
                 counts, again, took_s = await _round(here, link, f"round-{number}")
@@ -71,7 +71,7 @@
 def test_a_router_avoids_an_engine_that_fails_what_is_sent_there():
     async def scenario():
         async with router_box(engines=2) as (here, link):
-            await eventually(lambda: all(engine.asked_report for engine in here.engines()))
+            await eventually(lambda: all(engine.report_requests for engine in here.engines()))
             for number in range(4):
                 reply = await link.place(question(f"r{number}", tried=("e-1",)), 1.0)
                 assert reply.endpoint == "e-0"
@@ -85,7 +85,7 @@
 def test_a_prompt_that_is_given_up_does_not_count_as_work_of_its_engine():
     async def scenario():
         async with router_box(engines=1) as (here, link):
-            await eventually(lambda: here.engines()[0].asked_report)
+            await eventually(lambda: here.engines()[0].report_requests)
             busy = await link.place(question("r0", tokens=90_000), 1.0)
             assert busy.endpoint == "e-0"
             waits = [await link.place(question(f"q{n}", most_backlog_s=0.05), 1.0) for n in range(20)]
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -35,10 +35,10 @@
 def after_leaving(endpoint: Endpoint) -> list[str]:
     """Return the requests that came too late after an answer had told their box that the endpoint leaves."""
     told: dict[str, float] = {}
-    for at, call_id in endpoint.told_leaving:
+    for at, call_id in endpoint.leaving_sent:
         told.setdefault(box_of(call_id), at)
     never = float("inf")
-    return [call_id for at, call_id in endpoint.arrived if at > told.get(box_of(call_id), never) + DRAIN_S]
+    return [call_id for at, call_id in endpoint.arrivals if at > told.get(box_of(call_id), never) + DRAIN_S]
 
 
 def most_at_rest(endpoint: Endpoint, rest_s: float) -> int:
@@ -46,26 +46,26 @@
     counts = [
         sum(
             box_of(sent) == box_of(told) and asked_at + KNOWN_AFTER_S < at < asked_at + rest_s
-            for at, sent in endpoint.arrived
+            for at, sent in endpoint.arrivals
         )
-        for asked_at, told, _ in endpoint.rested
+        for asked_at, told, _ in endpoint.retry_after_sent
     ]
     return max(counts, default=0)
 
 
 def turn_away(endpoint: Endpoint, rest: str) -> None:
-    endpoint.refuse, endpoint.rest = 100_000, rest
+    endpoint.refuse, endpoint.retry_after = 100_000, rest
 
 
 def test_a_plain_endpoint_that_said_that_it_leaves_gets_nothing_though_its_entry_says_ready():
     async def scenario():
         async with known_boxes(plain=2) as here:
             leaving, other = here.endpoints
-            leaving.leaving, other.hold_s = "1", 0.3
+            leaving.leaving, other.delay_s = "1", 0.3
             answers = await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 4.0)
-            assert leaving.told_leaving and not after_leaving(leaving)
+            assert leaving.leaving_sent and not after_leaving(leaving)
             assert [answer.status for answer in answers] == [200] * len(answers)
-            assert len(other.taken) > len(leaving.taken)
+            assert len(other.received) > len(leaving.received)
             here.table.put("servers", leaving.id, leaving.entry() | {"sequence": 2})
             leaving.leaving = None
             await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 1.0)
@@ -81,7 +81,7 @@
             boxes[0].table.down = True
             leaving.leaving = "1"
             answers = await press(lambda n: boxes[n % 2].prompt("/again/x", call_id=f"{n % 2} {n}"), 20, 5.0)
-            assert leaving.told_leaving and not after_leaving(leaving)
+            assert leaving.leaving_sent and not after_leaving(leaving)
             assert [answer.status for answer in answers][:40] == [200] * 40
 
     asyncio.run(scenario())
@@ -104,8 +104,8 @@
             await press(both, 30, 5.0)
             assert clock() - began >= 5.0
             for leaving, resting, _ in (here.endpoints[:3], here.engines()):
-                assert leaving.told_leaving and not after_leaving(leaving)
-                assert resting.rested and most_at_rest(resting, 3.0) <= MOST_AT_REST
+                assert leaving.leaving_sent and not after_leaving(leaving)
+                assert resting.retry_after_sent and most_at_rest(resting, 3.0) <= MOST_AT_REST
 
     asyncio.run(scenario())
 
@@ -115,15 +115,15 @@
         async with known_boxes(plain=2, budget_slack=10_000) as here:
             resting, other = here.endpoints
             turn_away(resting, "2.5")
-            other.hold_s = 0.4
+            other.delay_s = 0.4
             answers = await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 6.0)
-            assert len(resting.rested) >= 2 and most_at_rest(resting, 2.5) <= MOST_AT_REST
+            assert len(resting.retry_after_sent) >= 2 and most_at_rest(resting, 2.5) <= MOST_AT_REST
             assert [answer.status for answer in answers] == [200] * len(answers)
             resting.refuse = 0
             await asyncio.sleep(2.5)
-            before = len(resting.taken)
+            before = len(resting.received)
             await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 3.0)
-            assert len(resting.taken) - before >= 20
+            assert len(resting.received) - before >= 20
 
     asyncio.run(scenario())
 
@@ -134,8 +134,8 @@
             resting, _ = boxes[0].engines()
             turn_away(resting, "3")
             answers = await press(lambda n: boxes[n % 2].prompt("/again/x", call_id=f"{n % 2} {n}"), 20, 5.0)
-            assert resting.rested and most_at_rest(resting, 3.0) <= MOST_AT_REST
-            turned_away = {call_id for _, call_id, _ in resting.rested}
+            assert resting.retry_after_sent and most_at_rest(resting, 3.0) <= MOST_AT_REST
+            turned_away = {call_id for _, call_id, _ in resting.retry_after_sent}
             failed = {f"{n % 2} {n}" for n, answer in enumerate(answers) if answer.status != 200}
             assert failed <= turned_away, "only those may fail that no budget lets be sent again"
 
@@ -147,7 +147,7 @@
         async with known_boxes(plain=2, budget_slack=10_000) as here:
             for endpoint in here.endpoints:
                 turn_away(endpoint, "2.5")
-                endpoint.hold_s = 0.05
+                endpoint.delay_s = 0.05
             began = clock()
             first = await here.call("/plain/x", call_id="box first")
             assert first.status == 503 and 2.0 < float(first.headers["Retry-After"]) <= 2.51
@@ -161,10 +161,10 @@
             await asyncio.sleep(began + 2.6 - clock())
             for endpoint in here.endpoints:
                 endpoint.refuse_s = 0.2
-            before = [len(endpoint.arrived) for endpoint in here.endpoints]
+            before = [len(endpoint.arrivals) for endpoint in here.endpoints]
             herd = (here.call("/plain/x", call_id=f"box herd-{n}") for n in range(40))
             await asyncio.gather(*herd)
-            now = [len(endpoint.arrived) for endpoint in here.endpoints]
+            now = [len(endpoint.arrivals) for endpoint in here.endpoints]
             assert max(after - prior for after, prior in zip(now, before, strict=True)) <= MOST_AT_REST
 
     asyncio.run(scenario())
@@ -188,9 +188,11 @@
         async with known_boxes(plain=2, budget_slack=10_000) as here:
             resting, other = here.endpoints
             turn_away(resting, "0.05")
-            other.hold_s = 0.4
+            other.delay_s = 0.4
             await press(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 3.0)
-            again = {item.id for item in other.taken} & {call_id for _, call_id, _ in resting.rested}
+            again = {item.id for item in other.received} & {
+                call_id for _, call_id, _ in resting.retry_after_sent
+            }
             assert len(again) >= 2
             assert f'stairquay_repeats_total{{service="plain"}} {len(again)}.0' in await here.metrics()
 
@@ -209,9 +211,9 @@
             await prompt_until_placed(here, router, "second")
             router.place_requests.clear()
             router.reply = PlaceReply(endpoint=leaving.id, version=1, scope="/m/1", first_token_s=0.02)
-            before = len(leaving.arrived), len(resting.arrived)
+            before = len(leaving.arrivals), len(resting.arrivals)
             answers = await press(lambda n: here.prompt("/again/x", call_id=f"box {n}"), 10, 1.5)
-            assert (len(leaving.arrived), len(resting.arrived)) == before
+            assert (len(leaving.arrivals), len(resting.arrivals)) == before
             told = [item for asked in router.place_requests for item in asked.said]
             assert any(item.endpoint == leaving.id and item.leaving for item in told)
             assert any(item.endpoint == resting.id and 0 < item.rest_s <= 3 for item in told)
@@ -225,7 +227,7 @@
     async def scenario():
         async with two_boxes(plain=2) as (first, second):
             leaving, other = first.endpoints
-            leaving.leaving, other.hold_s = "1", 0.3
+            leaving.leaving, other.delay_s = "1", 0.3
             await eventually(lambda: told_by(first, leaving))
             known = f'stairquay_endpoint_leaving{{endpoint="{leaving.id}"}} 1.0'
 
@@ -233,13 +235,13 @@
                 return known in await second.metrics()
 
             await eventually(second_knows, 3.0)
-            before = len(leaving.arrived)
+            before = len(leaving.arrivals)
             await press(lambda n: second.call("/plain/x", call_id=f"second {n}"), 20, 1.0)
-            assert len(leaving.arrived) == before
+            assert len(leaving.arrivals) == before
 
     async def told_by(here: Site, endpoint: Endpoint) -> bool:
         await here.call("/plain/x", call_id="first")
-        return bool(endpoint.told_leaving)
+        return bool(endpoint.leaving_sent)
 
     asyncio.run(scenario())
 
@@ -254,7 +256,7 @@
                 await asyncio.sleep(0.4)
                 call.cancel()
             for engine in here.engines():
-                assert engine.told_leaving and not after_leaving(engine)
+                assert engine.leaving_sent and not after_leaving(engine)
                 assert here.logged("leaving", endpoint=engine.id)
             assert not here.logged("ended", outcome="answered")
 
@@ -267,7 +269,7 @@
             first, second, engine = here.endpoints
             engine.leaving = "1"
             assert (await here.prompt(call_id="llm")).status == 200
-            first.rest = second.rest = "2.5"
+            first.retry_after = second.retry_after = "2.5"
             first.refuse = second.refuse = 1
             await here.call("/plain/x", call_id="turned-away")
             await asyncio.sleep(0.5)
@@ -292,7 +294,7 @@
             for text in ("0", "0", "perhaps"):
                 endpoint.leaving = text
                 assert (await here.call("/plain/x", call_id=f"odd-{text}")).status == 200
-            endpoint.leaving, endpoint.rest, endpoint.refuse = None, "a while", 1
+            endpoint.leaving, endpoint.retry_after, endpoint.refuse = None, "a while", 1
             await here.call("/plain/x", call_id="odd-rest")
             await asyncio.sleep(0.5)
             assert [line["text"] for line in here.logged("leaving", outcome="unreadable")] == ["0", "perhaps"]
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -93,7 +93,7 @@
             await here.start_box()
             await here.until_ready()
             answer = await here.prompt()
-            assert answer.status == 503 and not here.engines()[0].taken
+            assert answer.status == 503 and not here.engines()[0].received
 
     asyncio.run(scenario())
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -61,7 +61,7 @@
                 await eventually(lambda version=version: here.logged("version_named", version=version))
                 await asyncio.sleep(0.9)
             answer = await here.prompt()
-            assert answer.status == 503 and not here.engines()[0].taken
+            assert answer.status == 503 and not here.engines()[0].received
 
     asyncio.run(scenario())
 
@@ -96,7 +96,7 @@
             await here.until_ready()
             await asyncio.sleep(0.7)
             answer = await here.prompt()
-            assert answer.status == 503 and not here.engines()[0].taken
+            assert answer.status == 503 and not here.engines()[0].received
 
     asyncio.run(scenario())
 
@@ -121,7 +121,7 @@
             await here.until_ready()
             await asyncio.sleep(max(0.0, named_at + 3.1 - asyncio.get_running_loop().time()))
             answer = await here.prompt()
-            assert answer.status == 503 and not here.engines()[0].taken
+            assert answer.status == 503 and not here.engines()[0].received
 
     asyncio.run(scenario())
 
