--- a/tests/standins/table.py
+++ b/tests/standins/table.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Copy:
+class Snapshot:
     """What stood in the table service at a time."""
 
     rows_by_key: dict[tuple[str, str], tuple[str, int]]
@@ -53,12 +53,12 @@
     history: list[tuple[int, str, str]] = field(default_factory=list)
     counter: int = 0
     down: bool = False
-    lost: int = 0
+    lost_answers: int = 0
     refused_by_prefix: dict[str, int] = field(default_factory=dict)
-    forgotten: int = 0
-    slow_s: float = 0.0
-    late_s_by_table: dict[str, float] = field(default_factory=dict)
-    unread_tables: set[str] = field(default_factory=set)
+    compacted_before: int = 0
+    delay_s: float = 0.0
+    delay_s_by_table: dict[str, float] = field(default_factory=dict)
+    unavailable_tables: set[str] = field(default_factory=set)
     era: int = 1
     calls: list[str] = field(default_factory=list)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
@@ -83,14 +83,14 @@
         row = self.rows_by_key.get((table, key))
         return None if row is None else json.loads(row[0])
 
-    def copy(self) -> Copy:
+    def snapshot(self) -> Snapshot:
         """Return what stands here now, to come back to."""
-        return Copy(dict(self.rows_by_key), tuple(self.history), self.counter)
+        return Snapshot(dict(self.rows_by_key), tuple(self.history), self.counter)
 
-    def restore(self, copy: Copy) -> None:
+    def restore(self, snapshot: Snapshot) -> None:
         """Come back from an older copy: what was written since is gone, its numbers are given out again."""
-        self.rows_by_key, self.history = dict(copy.rows_by_key), list(copy.history)
-        self.counter = copy.counter
+        self.rows_by_key, self.history = dict(snapshot.rows_by_key), list(snapshot.history)
+        self.counter = snapshot.counter
         self.era += 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -115,13 +115,13 @@
         self.calls.append(request.path)
         if self.down:
             await asyncio.sleep(30)
-        await asyncio.sleep(self.slow_s)
+        await asyncio.sleep(self.delay_s)
         if request.path == "/-/rows-get":
             table = request.query["table"]
-            if table in self.unread_tables:
+            if table in self.unavailable_tables:
                 return web.Response(status=429)
             answer = self._rows(request)
-            await asyncio.sleep(self.late_s_by_table.get(table, 0.0))
+            await asyncio.sleep(self.delay_s_by_table.get(table, 0.0))
             return answer
         if request.path == "/-/rows-feed":
             return await self._feed(request)
@@ -131,7 +131,7 @@
 
     def _rows(self, request: web.Request) -> web.Response:
         table, start = request.query["table"], request.query.get("from", "")
-        found = sorted(key for held, key in self.rows_by_key if held == table and key >= start)
+        found = sorted(key for row_table, key in self.rows_by_key if row_table == table and key >= start)
         limit = int(request.query.get("limit", "500"))
         rows = [self._row(table, key) for key in found[:limit]]
         return web.json_response(
@@ -140,17 +140,19 @@
 
     async def _feed(self, request: web.Request) -> web.Response:
         table, after = request.query["table"], int(request.query["after"])
-        if after < self.forgotten or after > self.counter:
+        if after < self.compacted_before or after > self.counter:
             return web.Response(status=410)
         end = asyncio.get_running_loop().time() + int(request.query["wait_ms"]) / 1000
         while True:
-            keys = dict.fromkeys(key for ver, held, key in self.history if held == table and ver > after)
-            left = end - asyncio.get_running_loop().time()
-            if keys or left <= 0:
+            keys = dict.fromkeys(
+                key for ver, row_table, key in self.history if row_table == table and ver > after
+            )
+            remaining_s = end - asyncio.get_running_loop().time()
+            if keys or remaining_s <= 0:
                 rows = [self._row(table, key) for key in keys]
                 return web.json_response({"rows": rows, "ver": self.counter, "now_ms": now_ms()})
             try:
-                await asyncio.wait_for(self.changed.wait(), left)
+                await asyncio.wait_for(self.changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
@@ -160,19 +162,19 @@
             if count and any(item["key"].startswith(prefix) for item in body["put"]):
                 self.refused_by_prefix[prefix] -= 1
                 return web.Response(status=503)
-        wrong = [
+        failed_conditions = [
             item
             for item in body["expected"]
             if self.rows_by_key.get((item["table"], item["key"]), ("", 0))[1] != item["ver"]
         ]
-        if wrong:
-            rows = [self._row(item["table"], item["key"]) for item in wrong]
+        if failed_conditions:
+            rows = [self._row(item["table"], item["key"]) for item in failed_conditions]
             return web.json_response({"rows": rows, "ver": self.counter}, status=412)
         puts = [(item["table"], item["key"], b64decode(item["value"]).decode()) for item in body["put"]]
         removes = [(item["table"], item["key"], None) for item in body["remove"]]
         self._write([*puts, *removes])
-        if self.lost:
-            self.lost -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             await asyncio.sleep(30)
         return web.json_response({"ver": self.counter, "now_ms": now_ms()})
 
--- a/tests/test_box_state.py
+++ b/tests/test_box_state.py
@@ -92,7 +92,7 @@
 def test_history_that_was_forgotten_is_read_anew():
     async def scenario():
         async with site() as here:
-            here.table.forgotten = here.table.counter + 1_000
+            here.table.compacted_before = here.table.counter + 1_000
             here.put_configuration(2, tenants=[{"name": "w1", "api_keys": ["another"]}])
             here.endpoints[0].id = "p-0"
             await eventually(in_force(here, 2), 3.0)
--- a/tests/test_box_weights.py
+++ b/tests/test_box_weights.py
@@ -68,7 +68,7 @@
         async with site(plain=0, engines=1) as here:
             await eventually(lambda: here.table.get("stairquay", "box/box-1@127.0.0.1"))
             await asyncio.sleep(0.3)
-            here.table.lost = 1
+            here.table.lost_answers = 1
             here.table.put("op", f"version/{MODEL}", {"model": MODEL, "version": 2})
             await eventually(lambda: here.engines()[0].orders, 8.0)
             row = here.table.get("stairquay", "lease/orders")
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -149,7 +149,7 @@
             await come(here, 2)
             await eventually(lambda: here.table.get("stairquay-crashes", "box-1@127.0.0.1"))
             await here.kill_box()
-            here.table.late_s_by_table = {"stairquay-crashes": 1.0}
+            here.table.delay_s_by_table = {"stairquay-crashes": 1.0}
             await here.start_box()
             await here.until_ready()
             await come(here, 3, name="just-started")
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -37,7 +37,7 @@
 ) -> None:
     """Have things written after a copy, then have the table service come back from it. `again` writes what
     operators and endpoints had written since."""
-    copy = here.table.copy()
+    copy = here.table.snapshot()
     await since_copy()
     here.table.down = True
     await asyncio.sleep(AWAY_S)
@@ -116,7 +116,7 @@
     async def scenario():
         async with two_boxes(plain=0, engines=1, lease_ms=600) as (first, second):
             engine = first.engines()[0]
-            copy = first.table.copy()
+            copy = first.table.snapshot()
             for key in list(copy.rows_by_key):
                 if key[1].startswith("lease"):
                     del copy.rows_by_key[key]
@@ -142,7 +142,7 @@
         async with two_boxes(plain=0, engines=7, budget_window_s=1) as (first, second):
             await first.until_retry_budget_full()
             arm(first)
-            copy = first.table.copy()
+            copy = first.table.snapshot()
             await come(first, 2)
             assert crashed(first) == 3
             await known_everywhere(first, second)
--- a/tests/test_too_old.py
+++ b/tests/test_too_old.py
@@ -68,7 +68,7 @@
                 boxes = BoxRegistry(state, OwnRows(TableClient(table.address, session)), Random(1))
                 viewed_at = monotonic() - 5.0
                 table.put(OWN_TABLE, KEY_PREFIX + "other", {"beat": 3, "viewed_at_s": now_ms() / 1000 - 5.0})
-                table.late_s_by_table = {OWN_TABLE: 0.5}
+                table.delay_s_by_table = {OWN_TABLE: 0.5}
                 await take_rows(table, boxes)
                 assert viewed_at - 0.7 <= state.last_view_before_start <= viewed_at + 0.05
         finally:
@@ -88,7 +88,7 @@
                 lambda: [named["version"] for row in box_rows(here) for named in row["named"]] == [2]
             )
             await here.kill_box()
-            here.table.unread_tables = {OWN_TABLE}
+            here.table.unavailable_tables = {OWN_TABLE}
             await asyncio.sleep(3.0)
             await here.start_box()
             await here.until_ready()
