--- a/tests/site.py
+++ b/tests/site.py
@@ -15,7 +15,7 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
 from tests.ports import free_port
-from tests.standins.dialect import Endpoint, StoreBox
+from tests.standins.endpoints import Endpoint, StoreBox
 from tests.standins.table import TableService
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -16,7 +16,7 @@
 
 from tests.many_boxes import several_boxes
 from tests.site import Site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 
 TOLD_S = 3.0
 """Seconds after a third crash from which boxes must know of it: the shortest bound of any deployment."""
--- a/tests/soak_statements.py
+++ b/tests/soak_statements.py
@@ -22,7 +22,7 @@
 
 from tests.many_boxes import several_boxes
 from tests.site import Site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 
 KNOWN_S, TOLD_S, WINDOW_S = 3.0, 0.5, 4.0
 """As in tests.test_limits: when a limit binds after its first naming, and a box after it was told."""
--- a/tests/test_box_weights.py
+++ b/tests/test_box_weights.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from tests.site import KEY, MODEL, SCOPE, Site, eventually, site
-from tests.standins.dialect import StoreBox
+from tests.standins.endpoints import StoreBox
 
 
 async def keep_a_part(here: Site) -> StoreBox:
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -12,7 +12,7 @@
 
 from tests.many_boxes import two_boxes
 from tests.site import Answer, Site, eventually, site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 
 POISON = b"crash"
 PROMPT = b"a prompt, crash"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,7 +16,7 @@
 from stairquay.serving.messages import Outcome, PlaceReply
 from tests.many_boxes import prompt_until_placed, routed_box, two_boxes
 from tests.site import Answer, Site, configuration, eventually, site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 
 KNOWN_S = 3.0
 """Seconds from its first naming on from which a limit binds all boxes that were told: the shortest time for
--- a/tests/test_many_boxes.py
+++ b/tests/test_many_boxes.py
@@ -6,7 +6,7 @@
 from stairquay.serving.messages import EndedAttempt, OperatorsRequest, Outcome, PlaceReply, PromptPart
 from tests.many_boxes import ROUTERS, StubRouter, prompt_until_placed, routed_box
 from tests.site import MODEL, SCOPE, Site, eventually
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 
 
 def reply_for(engine: str, **fields) -> PlaceReply:
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -8,7 +8,7 @@
 
 from stairquay.adapters.clock import monotonic
 from tests.site import Answer, Site, configuration, eventually, site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 
 KNOWN_S = 3.0
 """Seconds after which a change of operators' rows must be known to the box of a small site."""
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -16,7 +16,7 @@
 from stairquay.serving.messages import Outcome, PlaceReply
 from tests.many_boxes import prompt_until_placed, routed_box, two_boxes
 from tests.site import Answer, Site, eventually, site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 from tests.test_limits import clock, known_boxes, press, refused_well
 
 DRAIN_S = 2.0
