--- a/tests/launcher.py
+++ b/tests/launcher.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and programs as separate processes, for tests, the demonstration and the benchmark."""
+"""Starts stand-ins and programs as separate processes, for tests, the demo and benchmarks."""
 
 import hashlib
 import json
@@ -47,7 +47,7 @@
     timeout_s: float = 30.0,
     tls: ssl.SSLContext | None = None,
 ) -> Answer:
-    """Call once; status 0 where no whole answer came."""
+    """Send one request. Status 0 stands for a missing or incomplete response."""
     data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
     request = urllib.request.Request(url, data=data, method=method, headers=headers or {})
     try:
@@ -61,7 +61,7 @@
 
 @dataclass
 class Process:
-    """One process of ours; ended by its own pid only."""
+    """A child process and its log."""
 
     name: str
     popen: subprocess.Popen
@@ -98,7 +98,7 @@
 
 
 class Cluster:
-    """A system of processes on this machine's loopback."""
+    """A system of processes on the loopback interface."""
 
     def __init__(self, folder: Path | None = None, python: str = sys.executable) -> None:
         self.python = python
@@ -166,7 +166,7 @@
 
     @property
     def proxy_addresses(self) -> dict[str, str]:
-        """Return the addresses of proxies by the name of what stands behind them."""
+        """Return the addresses of proxies by the name of their target."""
         found = {}
         for name, port in self.ports.items():
             if name.startswith("proxy:"):
@@ -174,7 +174,7 @@
         return found
 
     def start_proxy(self, name: str, target: str | None = None) -> str:
-        """Put a proxy before a stand-in or a listener; start it before what it is put before."""
+        """Start a proxy in front of a stand-in or a listener that is started later."""
         if target is None:
             self.ports[name] = self.ports.get(name) or free_port()
             target = f"127.0.0.1:{self.ports[name]}"
@@ -251,7 +251,7 @@
                 place = place.setdefault(parent, {})
             place[last] = item
         path = self.folder / f"{box}.json"
-        # Programs of this box that are just starting must never read half a file.
+        # Replaced atomically: programs that are starting may read it at any time.
         temporary_path = path.with_suffix(".new")
         temporary_path.write_text(json.dumps(value, indent=2))
         temporary_path.replace(path)
@@ -267,7 +267,7 @@
         return [f"127.0.0.1:{ports.router}" for ports in self.boxes.values()]
 
     def add_boxes(self, *names: str) -> None:
-        """Reserve ports for boxes, and list them, before any of their programs starts."""
+        """Reserve ports for boxes and register them, before any of their programs starts."""
         for name in names:
             self.boxes[name] = BoxPorts()
         for name in names:
@@ -322,7 +322,7 @@
         return self.control(box, "POST", f"/v1/plans/{plan}/confirm")
 
     def apply(self, box: str, intents: list[dict[str, Any]]) -> int:
-        """Put intents into force and return their revision."""
+        """Propose and confirm intents, and return their revision."""
         answer = self.confirm(box, self.propose(box, intents)["id"])
         assert answer.status == 200, answer
         return answer.json()["revision"]
--- a/tests/many_boxes.py
+++ b/tests/many_boxes.py
@@ -1,4 +1,4 @@
-"""Sites of many boxes: one box that asks routers, stand-ins for them, and one that routes for others."""
+"""Sites of several boxes: a box that asks a stub router, a box that is a router, and several real boxes."""
 
 import asyncio
 import tempfile
@@ -28,19 +28,21 @@
 from tests.site import Answer, Site, eventually, site
 
 OTHER_BOXES = 11
-"""Other boxes in the table: with this one more than route by themselves."""
+"""Other boxes in the table: enough for a box to ask routers."""
 
 MAX_PROMPTS = 10
-"""Prompts sent until the router has placed one."""
+"""Prompts to send at most until the router has placed one."""
 
 ROUTERS = ["router-1", "router-2"]
-"""Both have the one address at which a test answers."""
+"""Both have the address of the stub router."""
 
 
 @dataclass
 class StubRouter:
-    """A router that says what the test wants. `silent`: it answers no question at all. `again`: answers that
-    tell to ask again."""
+    """A router whose replies a test sets.
+
+    silent: it answers no request. retry_replies: number of replies that ask the box to retry.
+    """
 
     address: str = ""
     reply: PlaceReply = field(default_factory=PlaceReply)
@@ -93,7 +95,7 @@
 
 
 def add_boxes(here: Site, router: str = "") -> None:
-    """Have other boxes in the table, two of them routers where an address is given."""
+    """Add other boxes to the table, and two routers if an address is given."""
     for number in range(OTHER_BOXES):
         here.table.put("stairquay", f"box/other-{number}", {"beat": 1})
     if router:
@@ -104,7 +106,7 @@
 
 @asynccontextmanager
 async def routed_box(**options) -> AsyncIterator[tuple[Site, StubRouter]]:
-    """A box that has routers to ask. They know nothing of the table service."""
+    """Run a box that asks a stub router, which does not read the table service."""
     router = StubRouter(f"127.0.0.1:{free_port()}")
     server = await serve(router.address, router.handlers())
     try:
@@ -120,10 +122,9 @@
 async def prompt_until_placed(
     here: Site, router: StubRouter, call_id: str, before: Callable[[], None] = lambda: None, **options
 ) -> tuple[Answer, PlaceRequest]:
-    """Send prompts until the router has placed one, and return its answer and the question.
+    """Send prompts until the router has placed one, and return its answer and the request to the router.
 
-    A busy machine may not answer a question within its 80 ms; the box then decides by itself, which other
-    tests are about.
+    The box places a prompt by itself where the reply of the router comes too late.
     """
     for number in range(MAX_PROMPTS):
         before()
@@ -142,7 +143,7 @@
 
 @asynccontextmanager
 async def router_box(**options) -> AsyncIterator[tuple[Site, RouterClient]]:
-    """A box that is a router, and a channel to it."""
+    """Run a box that is a router, and a client of it."""
     async with site(ready=False, **options) as here:
         add_boxes(here)
         await here.until_ready()
@@ -155,14 +156,14 @@
 
 
 UNREACHABLE_BOXES = 10
-"""Other boxes in the table that nobody can reach: with two real ones, more than route by themselves."""
+"""Other boxes in the table: with two real ones, enough for a box to ask routers."""
 
 FIRST_BOX, SECOND_BOX = "box-1@127.0.0.1", "box-2@127.0.0.1"
 
 
 @asynccontextmanager
 async def two_boxes(**options) -> AsyncIterator[tuple[Site, Site]]:
-    """Two boxes as real processes that share their stand-ins, one of which routes for both."""
+    """Run two real boxes that share their stand-ins; one of them routes for both."""
     async with site(ready=False, **options) as first:
         for number in range(UNREACHABLE_BOXES):
             first.table.put("stairquay", f"box/other-{number}", {"beat": 1})
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,4 +1,4 @@
-"""Ports of the loopback for processes that are started, from a range that this process alone takes."""
+"""Free loopback ports for processes under test, from a range that this process reserves."""
 
 import random
 import socket
@@ -8,12 +8,12 @@
 from itertools import cycle
 
 FIRST_PORT, LAST_PORT, SLOT_PORTS = 15_000, 32_000, 500
-"""Below the range from which the system takes ports for outgoing connections."""
+"""Below the ephemeral ports of the system."""
 
 
 @dataclass
 class PortSlot:
-    """A range of ports that this process alone takes, as long as it holds the socket at its start."""
+    """A range of ports, reserved for this process while the lock socket at its start is bound."""
 
     lock_socket: socket.socket
     ports: Iterator[int]
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,6 @@
-"""Runs every check, and closes with the count of what passed and failed.
+"""Runs linters, tests and scenarios, and prints how many passed and failed.
 
-Files of tests run a few at a time; each is told as it ends, and the slowest cases at the end. A failure that
-KNOWN-RED.txt names is printed, not counted.
+Test files run in parallel. Failures listed in KNOWN-RED.txt are printed but not counted.
 """
 
 import json
@@ -23,12 +22,12 @@
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 SLOWEST = 10
 SCENARIO_WEIGHT = 4
-"""How many times as long a feature file takes as a file of unit tests of its size."""
+"""Run time of a feature file relative to a file of unit tests of the same size."""
 
 LINT = [
     ["ruff", "format", "--check", "."],
     ["ruff", "check", "."],
-    # A cache that a killed run left broken would fail a sound tree.
+    # No cache: one that a killed run left broken would report false errors.
     ["mypy", "--cache-dir", os.devnull],
     ["lint-imports"],
 ]
@@ -44,7 +43,7 @@
 
 @dataclass(frozen=True)
 class TestFile:
-    """A file of tests, or all checks without one. weight: larger ones are begun first."""
+    """A file of tests. Files with a larger weight start first."""
 
     name: str
     run: Callable[[], list[Case]]
@@ -52,7 +51,7 @@
 
 
 def known_red() -> set[str]:
-    """Return the names of tests that are known to fail: what stands before the first `|`."""
+    """Return the tests that are known to fail: the text before the first `|` of each line."""
     if not KNOWN_RED.exists():
         return set()
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
@@ -100,7 +99,7 @@
         if scenario["type"] != "scenario":
             continue
         passed = scenario["status"] == "passed"
-        # Scenarios of an outline end in a blank, which no list of names keeps.
+        # behave appends a blank to the names of outline scenarios.
         name = f"{feature.name}: {scenario['name']}".strip()
         seconds = sum(step.get("result", {}).get("duration", 0.0) for step in scenario["steps"])
         cases.append(Case(name, passed, "" if passed else done.stdout[-12000:], seconds))
@@ -108,7 +107,7 @@
 
 
 def list_test_files() -> list[TestFile]:
-    """Return the files of tests, the longest first."""
+    """Return all test files, the slowest first."""
     units = sorted((ROOT / "tests").rglob("test_*.py"))
     features = sorted((ROOT / "features").glob("*.feature"))
     found = [TestFile(file.name, partial(unit_cases, file), _weight(file)) for file in units]
@@ -117,13 +116,13 @@
 
 
 def _weight(file: Path) -> int:
-    """Return how early a file is begun: scenarios take longer than unit tests of that length."""
+    """Estimate the run time of a file from its size."""
     size = file.stat().st_size
     return size * SCENARIO_WEIGHT if file.suffix == ".feature" else size
 
 
 def run_in_parallel(files: list[TestFile]) -> list[Case]:
-    """Run parts a few at a time, and tell each as it ends."""
+    """Run files in parallel, and print each result."""
     cases = []
     with ThreadPoolExecutor(MAX_PARALLEL_FILES) as pool:
         running = {pool.submit(run_timed, file): file for file in files}
--- a/tests/session.py
+++ b/tests/session.py
@@ -1,4 +1,4 @@
-"""Callers of the system under test, and the audit of what they were told against what ran."""
+"""Client calls to the system under test, and the audit of their outcomes against what ran."""
 
 import asyncio
 import hashlib
@@ -20,7 +20,7 @@
 
 @dataclass
 class Outcome:
-    """What one caller was told. `status` is 0 where the connection broke."""
+    """The response that one caller got. `status` is 0 where no response head came."""
 
     prompt: str
     status: int = 0
@@ -44,7 +44,7 @@
 
 
 class EventLoopThread:
-    """An event loop in a thread of its own, so that steps are plain calls."""
+    """An event loop in a thread of its own, for steps that are not coroutines."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -83,7 +83,7 @@
 async def send_chat(
     url: str, key: str, body: dict, headers: dict[str, str] | None = None, tls: Any = True
 ) -> Outcome:
-    """Send a prompt and take the whole answer, checking it against the prompt."""
+    """Send a prompt, and check that the answer is complete and belongs to the prompt."""
     outcome = Outcome(json.dumps(body["messages"])[:80])
     started = time.monotonic()
     given = {"Authorization": f"Bearer {key}", **(headers or {})}
@@ -131,7 +131,7 @@
         try:
             value = json.loads(event)
         except ValueError:
-            # A broken event is the caller's to see only before an error.
+            # A truncated event makes the answer incomplete; an error event may follow it.
             done = False
             continue
         if "error" in value:
@@ -187,7 +187,7 @@
 
 
 def all_runs(cluster: Cluster, names: list[str]) -> list[dict]:
-    """Return every run that living endpoints have on record."""
+    """Return the recorded runs of all live endpoints."""
     runs = []
     for name in names:
         if cluster.processes[name].alive():
@@ -196,7 +196,7 @@
 
 
 def audit(cluster: Cluster, engines: list[str], plain: list[str], outcomes: list[Outcome]) -> list[str]:
-    """Return everything that contradicts what must always hold."""
+    """Return every violation of the invariants."""
     found = []
     for name in engines:
         if cluster.processes[name].alive():
@@ -211,10 +211,10 @@
             by_tag[run["tag"]] = by_tag.get(run["tag"], 0) + 1
     for outcome in outcomes:
         if outcome.execution_status == "not run" and outcome.request_id in by_request:
-            found.append(f"told not run, but ran: {outcome.request_id} {outcome.code}")
+            found.append(f"reported as not run, but ran: {outcome.request_id} {outcome.code}")
         if outcome.status == 200 and not outcome.complete and not outcome.broken and not outcome.code:
-            found.append(f"an answer that is not whole passed for one: {outcome.body[-200:]!r}")
+            found.append(f"incomplete answer without an error: {outcome.body[-200:]!r}")
         if outcome.status >= 500 and not outcome.execution_status:
-            found.append(f"a refusal that does not say whether it ran: {outcome.body[:200]!r}")
+            found.append(f"error without an execution status: {outcome.body[:200]!r}")
     found += [f"{tag} ran {count} times" for tag, count in by_tag.items() if count > 1]
     return found
--- a/tests/site.py
+++ b/tests/site.py
@@ -1,4 +1,4 @@
-"""A box as a real process, between stand-ins of the users' platform that run on the test's loop."""
+"""Runs a box as a real process, with stand-ins of the platform on the test's event loop."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got. `whole` is false where the connection broke."""
+    """The response that a caller got. `complete` is false where the connection broke."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -86,7 +86,7 @@
 
 @dataclass
 class Site:
-    """The stand-ins, and one box."""
+    """One box and its stand-ins."""
 
     table: TableService
     endpoints: list[Endpoint]
@@ -173,13 +173,13 @@
         await eventually(self.is_ready, READY_S)
 
     async def until_retry_budget_full(self) -> None:
-        """Wait until the box may send requests again as often as it ever may: a window after its start."""
+        """Wait until the retry budget is full: one window after the start."""
         await eventually(lambda: self.logged("router", outcome="picked"))
         await asyncio.sleep(self.bounds["budget_window_s"])
 
     async def is_ready(self) -> bool:
         assert self.session is not None and self.box is not None
-        assert self.box.returncode is None, "the box ended"
+        assert self.box.returncode is None, "the box process exited"
         try:
             async with self.session.get(f"http://{self.readiness}/-/readyz") as response:
                 return response.status == 200
@@ -233,7 +233,7 @@
         return [item for item in self.endpoints if item.model]
 
     async def kill_box(self) -> None:
-        """End the box as a loss of power does."""
+        """Kill the box without a shutdown."""
         assert self.box is not None
         self.box.kill()
         await self.box.wait()
@@ -255,7 +255,7 @@
 
 
 def set_target_version(here: Site, version: int) -> None:
-    """Name new weights, as operators do."""
+    """Set the version of weights to roll out, as operators do."""
     here.table.put("op", f"version/{MODEL}", {"model": MODEL, "version": version})
 
 
@@ -288,7 +288,7 @@
     halls: tuple[str, ...] = ("hall-a",),
     **bounds: float,
 ) -> AsyncIterator[Site]:
-    """Start stand-ins and a box, and end them. The endpoints of a service stand in the halls in turn."""
+    """Run a box and its stand-ins. The endpoints of a service are spread over the data halls in turn."""
     endpoints = [Endpoint(id=f"p-{number}", service="plain") for number in range(plain)]
     endpoints += [Endpoint(id=f"e-{number}", service="llm", model=MODEL) for number in range(engines)]
     for endpoint in endpoints:
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what stairquay meets outside: platform, engines, plain services, store boxes."""
+"""Stand-ins for the systems around stairquay: platform, engines, plain services, store boxes."""
--- a/tests/standins/batch.py
+++ b/tests/standins/batch.py
@@ -1,6 +1,6 @@
-"""The batch of the stand-in engine: continuous batching in pieces, a prefix cache with its events, answers.
+"""Batch of the stand-in engine: continuous batching with chunked prefill, and a prefix cache with events.
 
-It is free of HTTP: the engine adds runs to it, and reads their output, its events and its reports.
+It has no HTTP: the engine adds runs, and reads their output, the cache events and the load reports.
 """
 
 import asyncio
@@ -66,7 +66,7 @@
 
 
 class Batch:
-    """Makes runs in steps: each reads one piece of one prompt, and one token of every run that decodes."""
+    """Works in steps: each prefills one chunk of one prompt, and decodes one token of each decoding run."""
 
     def __init__(self, parameters: Parameters) -> None:
         self.parameters = parameters
@@ -81,7 +81,7 @@
         self.violations: list[str] = []
 
     def add(self, run: Run) -> None:
-        """Let a run wait for its turn."""
+        """Queue a run."""
         self.last_number += 1
         run.number = self.last_number
         self.queue.append(run)
@@ -100,7 +100,7 @@
             self.finish_step()
 
     def plan_step(self) -> float:
-        """Choose what the next step does, and return the seconds that it takes."""
+        """Plan the next step, and return its duration."""
         self.running = [run for run in self.running if not run.done]
         self.queue = [run for run in self.queue if not run.done]
         self.queue.sort(key=lambda run: (-run.priority, run.number))
@@ -120,7 +120,7 @@
         return max(step_s, 0.0005)
 
     def look_up_prefix(self, run: Run) -> None:
-        """Look up the run's prefix in the cache."""
+        """Start the prefill after the cached blocks of the run's prefix."""
         run.state = "prefill"
         cached_blocks = 0
         for block in run.block_ids:
@@ -190,7 +190,7 @@
 
 
 def token_text(run: Run, number: int) -> str:
-    """Return one token of an answer; the first says who asked and under which weights it runs."""
+    """Return one token of an answer; the first has the prompt's digest and the version of the weights."""
     return f"{run.digest}@{run.version}" if number == 0 else f" w{number}"
 
 
--- a/tests/standins/endpoints.py
+++ b/tests/standins/endpoints.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the users' platform: its endpoints and store boxes, with faults.
+"""Stand-ins for endpoints and store boxes, with faults.
 
-They run on the loop of the test that starts them, so that a test sets a fault by setting a field.
+They run on the event loop of the test, which sets a fault by setting a field.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request as an endpoint took it."""
+    """A request as an endpoint received it."""
 
     id: str
     method: str
@@ -29,7 +29,7 @@
 
 @dataclass
 class CacheServer:
-    """What engines and store boxes have in common: kept parts, told by events and lists."""
+    """Cached parts, served as events and as a list; common to engines and store boxes."""
 
     incarnation: int = 1
     parts_by_key: dict[tuple[str, str], int] = field(default_factory=dict)
@@ -47,7 +47,7 @@
         self.events.append([len(self.events) + 1, "-", scope, part, 0, "m"])
 
     async def handle_cache_request(self, request: web.Request) -> web.Response | None:
-        """Answer a call about what is kept, None where it is another call."""
+        """Answer a request about the cache, or return None for another request."""
         if self.silent and request.path.startswith("/-/"):
             await asyncio.sleep(30)
         if request.path == "/-/kv-events":
@@ -88,7 +88,7 @@
 
 @dataclass
 class StoreBox(CacheServer):
-    """A store box."""
+    """A store box, which serves nothing but its cache."""
 
     address: str = ""
     runner: web.AppRunner | None = None
@@ -102,17 +102,17 @@
 
 @dataclass
 class Endpoint(CacheServer):
-    """A plain service's endpoint, or an engine. Faults are fields:
-
-    refuse: this many requests are turned away, each after refuse_s. errors: this many runs end in 500. stray:
-    this many answers carry another request's id. break_after: streams are reset after that many events.
-    hold_s: time before the answer. unframed_reset: this many answers without a length end in a reset.
-    surplus: this many answers are followed by bytes that belong to nothing. crashes_on: a request whose body
-    holds that crashes the endpoint `crash_s` after it began, heard: after the head of its answer; on_poison
-    hears of each beginning and each crash. limit: named in every answer as what it takes from all callers,
-    where it is set; leaving: likewise, that it leaves. rest: the time that is named where a request is turned
-    away. arrived, named: requests that were meant for it, and answers that named a limit, by the loop's
-    clock; told_leaving, rested: answers that said that it leaves, and that asked for rest.
+    """Endpoint of a plain service, or an engine. Faults are fields:
+
+    refuse: number of requests to refuse, each after refuse_s. errors: number of responses with status 500.
+    wrong_id: number of responses with the id of another request. unsigned: number without a signature.
+    unframed_reset: number without a length that end in a reset. break_after: the next stream is reset after that
+    many events. delay_s: time before the response. crashes_on: a request whose body contains it crashes the
+    endpoint after crash_s. crash_after_head: the head of the response is sent before. on_poison: called at the
+    start of each such request and at each crash. limit, leaving: values of the headers Server-Limit and
+    Server-Leaving. retry_after: value of Retry-After in refusals.
+
+    arrivals, limits_sent, leaving_sent and retry_after_sent have times of the event loop.
     """
 
     id: str = "i-1"
@@ -218,7 +218,7 @@
         self.busy = False
 
     def _feedback_headers(self, call_id: str) -> dict[str, str]:
-        """Return what each answer says of the endpoint's use."""
+        """Return the feedback headers of a response."""
         headers = {}
         if self.limit is not None:
             self.limits_sent.append((asyncio.get_running_loop().time(), call_id))
@@ -270,7 +270,7 @@
         await response.prepare(request)
 
     def crash(self) -> web.Response:
-        """End as a process does: nothing listens any more, and all connections are reset."""
+        """Stop as a crashed process does: close the listener and reset all connections."""
         self.crashed = True
         assert self.runner is not None and self.runner.server is not None
         for site in list(self.runner.sites):
@@ -281,7 +281,7 @@
         return web.Response()
 
     async def restart(self) -> None:
-        """Start again after a crash, at another address."""
+        """Restart after a crash, at another address."""
         assert self.runner is not None
         await self.runner.cleanup()
         self.crashed = False
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -1,7 +1,6 @@
-"""Stand-in for a model engine: its HTTP side, with reports, fenced orders, kept context and faults.
+"""Stand-in for a model engine: HTTP server with load reports, fenced orders, cache transfers and faults.
 
-Its batch takes time as a real one would, by its parameters; it records what it was asked to do. Answers
-are derived from the prompt, so that an answer given to the wrong caller shows.
+Answers are derived from the prompt, so that an answer to the wrong caller is detected.
 """
 
 import asyncio
@@ -33,7 +32,7 @@
 
 @dataclass
 class Faults:
-    """Counts say how many runs to disturb; `after_bytes` says where an answer is cut."""
+    """Counts are numbers of runs to disturb; `after_bytes` is where an answer is cut."""
 
     leaving: bool = False
     not_run: int = 0
@@ -262,7 +261,7 @@
             if not self.parameters.keep_blocks_over_versions:
                 self.batch.cache.clear()
 
-    # Kept context
+    # Cache transfers
 
     async def import_blocks(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=ImportOrder)
@@ -274,7 +273,7 @@
         return reply(ImportResult(imported, imported * order.block_bytes))
 
     async def read_blocks(self, order: ImportOrder) -> int:
-        """Read blocks run by run; stop at the first that is not whole, and after the deadline."""
+        """Read blocks segment by segment, up to the first invalid one or the deadline."""
         imported = 0
         while imported < len(order.blocks):
             segment = order.blocks[imported].segment
--- a/tests/standins/plain.py
+++ b/tests/standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: records every call, and answers with what it was asked."""
+"""Stand-in for a plain service: records every request, and returns the record."""
 
 import asyncio
 import hashlib
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -162,7 +162,7 @@
         self.lists.append((time.monotonic(), changed))
 
     async def weights(self, request: web.Request) -> web.Response:
-        """Answer after the time a load takes: longer while more than two load at once."""
+        """Respond after the time of a load; loads share their speed where too many run at once."""
         self.loading += 1
         try:
             done = 0.0
--- a/tests/standins/proxy.py
+++ b/tests/standins/proxy.py
@@ -19,9 +19,9 @@
 
 @dataclass
 class Faults:
-    """refuse: accept nothing; frozen: pass nothing on; after_bytes: cut an answer there.
+    """refuse: accept no connection; frozen: forward nothing; after_bytes: where an answer is cut.
 
-    Cuts touch only connections whose requests hold `only`.
+    Cuts affect only connections whose requests contain `only`.
     """
 
     only: str = "POST /v1/"
--- a/tests/standins/serving.py
+++ b/tests/standins/serving.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: parameters as JSON in the first argument, one HTTP server, faults by POST."""
+"""Common to the stand-ins: parameters as JSON in the first argument, an HTTP server, faults by POST."""
 
 import asyncio
 import json
--- a/tests/standins/store.py
+++ b/tests/standins/store.py
@@ -1,7 +1,7 @@
-"""Stand-in for a store box: slots of memory behind one limited link, with no protection of its own.
+"""Stand-in for a store box: memory slots behind one link of limited bandwidth.
 
-Blocks are written and read in place. A reader that is slow sees whatever stands in the slots by
-then, freed and reused ones included; a writer that breaks off leaves what it wrote.
+Nothing isolates readers from writers: a slow reader sees freed and reused slots, and an aborted write leaves
+its blocks.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from tests.standins.serving import fault_route, parse_parameters, reply, serve
 
 BLOCK_PAYLOAD = 32
-"""Bytes that stand for one block; the link is charged for the real size."""
+"""Bytes that represent one block; the link is charged for the real size."""
 
 
 @dataclass
@@ -48,7 +48,7 @@
     transferred_bytes: int = 0
 
     async def transfer(self, size: int, rate: float) -> None:
-        """Wait until the link has moved some bytes, after those that were asked for before."""
+        """Wait until the link has transferred `size` bytes, after all earlier transfers."""
         start = max(time.monotonic(), self.busy_until)
         self.busy_until = start + size / rate
         self.transferred_bytes += size
--- a/tests/standins/table.py
+++ b/tests/standins/table.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 TABLE_STARTED_S = monotonic() - 1_000.0
-"""When the table service's clock stood at 0; the process has its own for as long as tests run."""
+"""Monotonic time at which the table service's clock was 0."""
 
 
 def now_ms() -> float:
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """What stood in the table service at a time."""
+    """Content of the table service at one time."""
 
     rows_by_key: dict[tuple[str, str], tuple[str, int]]
     history: tuple[tuple[int, str, str], ...]
@@ -41,12 +41,12 @@
 
 @dataclass
 class TableService:
-    """Rows with one growing counter, a feed, and conditional writes.
+    """Rows with one revision counter, a change feed, and conditional writes.
 
-    down: nothing is answered. lost: writes that are done but not answered. refused_by_prefix: writes of
-    keys that begin so that are turned away, nothing done. forgotten: the history before this counter is gone.
-    slow_s: delay of every answer. late_s_by_table: seconds by which a table's rows are late on their way.
-    unread_tables: tables whose rows are not to be had for now. era: rises with each restore of an older copy.
+    down: no request is answered. lost_answers: number of writes that are done but not answered.
+    refused_by_prefix: number of writes to refuse, by prefix of their keys. compacted_before: the feed refuses
+    older revisions. delay_s: delay of every answer. delay_s_by_table: delay of a table's rows after they are
+    read. unavailable_tables: tables whose rows cannot be read. era: rises with each restore of a snapshot.
     """
 
     rows_by_key: dict[tuple[str, str], tuple[str, int]] = field(default_factory=dict)
@@ -73,7 +73,7 @@
         self._write([(table, key, json.dumps(value))])
 
     def put_bytes(self, table: str, key: str, value: bytes) -> None:
-        """Write a row as another writer may: its bytes need be no text."""
+        """Write a row whose bytes need not be valid text."""
         self._write([(table, key, value.decode("utf-8", "surrogateescape"))])
 
     def remove(self, table: str, key: str) -> None:
@@ -84,11 +84,11 @@
         return None if row is None else json.loads(row[0])
 
     def snapshot(self) -> Snapshot:
-        """Return what stands here now, to come back to."""
+        """Return the current content, to restore it later."""
         return Snapshot(dict(self.rows_by_key), tuple(self.history), self.counter)
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Come back from an older copy: what was written since is gone, its numbers are given out again."""
+        """Go back to a snapshot: later writes are lost, and their revisions are assigned again."""
         self.rows_by_key, self.history = dict(snapshot.rows_by_key), list(snapshot.history)
         self.counter = snapshot.counter
         self.era += 1
--- a/tests/states.py
+++ b/tests/states.py
@@ -1,4 +1,4 @@
-"""What one box believes, for tests of the parts that decide: no process, no sockets."""
+"""State of one box for unit tests, without processes or sockets."""
 
 from stairquay.serving.event_log import EventLog
 from stairquay.serving.settings import BoxSettings
