--- a/tests/run.py
+++ b/tests/run.py
@@ -112,7 +112,7 @@
     features = sorted((ROOT / "features").glob("*.feature"))
     found = [TestFile(file.name, partial(unit_cases, file), _weight(file)) for file in units]
     found += [TestFile(file.name, partial(feature_cases, file), _weight(file)) for file in features]
-    return sorted(found, key=lambda file: -file.weight)
+    return sorted(found, key=lambda item: -item.weight)
 
 
 def _weight(file: Path) -> int:
