--- a/tests/standins/endpoints.py
+++ b/tests/standins/endpoints.py
@@ -107,10 +107,10 @@
     refuse: number of requests to refuse, each after refuse_s. errors: number of responses with status 500.
     wrong_id: number of responses with the id of another request. unsigned: number without a signature.
     unframed_reset: number without a length that end in a reset. break_after: the next stream is reset after
-    that many events. delay_s: time before the response. crashes_on: a request whose body contains it crashes
-    the endpoint after crash_s. crash_after_head: the head of the response is sent before. on_poison: called at
-    the start of each such request and at each crash. limit, leaving: values of the headers Server-Limit and
-    Server-Leaving. retry_after: value of Retry-After in refusals.
+    that many events. delay_s: time before the response. crashes_on: a request whose body contains it
+    crashes the endpoint after crash_s. crash_after_head: the head of the response is sent before.
+    on_poison: called at the start of each such request and at each crash. limit, leaving: values of the
+    headers Server-Limit and Server-Leaving. retry_after: value of Retry-After in refusals.
 
     arrivals, limits_sent, leaving_sent and retry_after_sent have times of the event loop.
     """
