--- a/bench/cost.py
+++ b/bench/cost.py
@@ -25,7 +25,7 @@
 from stairquay.core.retention import TurnCounter
 from stairquay.core.routing import Candidate, Demand, choose
 from tests.launcher import Cluster, hash_key
-from tests.session import chat, expected_text, send_chat
+from tests.session import chat_body, expected_text, send_chat
 
 RESULT = Path(__file__).resolve().parent / "results" / "cost.json"
 IDLE_S = 5.0
@@ -59,7 +59,7 @@
 
             async def send_one(number: int) -> None:
                 text = text_generator.text(f"{prompt_tokens} {number % 10}", prompt_tokens)
-                body = {**chat(text, True, answer_tokens), "model": HSITA.service}
+                body = {**chat_body(text, True, answer_tokens), "model": HSITA.service}
                 async with semaphore:
                     outcome = await send_chat(url, API_KEY, body)
                 assert outcome.status == 200 and outcome.text == expected_text(body, "v1"), outcome
@@ -196,17 +196,17 @@
         "control.upkeep_s": 5.0,
     }
     try:
-        cluster.platform()
-        address = cluster.proxy("platform", f"127.0.0.1:{cluster.ports['platform']}")
-        cluster.platform_via = f"http://{address}"
+        cluster.start_platform()
+        address = cluster.start_proxy("platform", f"127.0.0.1:{cluster.ports['platform']}")
+        cluster.platform_proxy_url = f"http://{address}"
         names = [f"engine-{number}" for number in range(engines)]
         for name in names:
-            cluster.proxy(name)
-            cluster.engine(name)
+            cluster.start_proxy(name)
+            cluster.start_engine(name)
         cluster.add_boxes("box-1")
         cluster.start_boxes("box-1")
         cluster.until_ready("box-1")
-        cluster.until(lambda: cluster.ready("box-1", "control"), 20, "control")
+        cluster.until(lambda: cluster.is_ready("box-1", "control"), 20, "control")
         cluster.apply("box-1", idle_intents(names, workspaces))
         time.sleep(3.0)
         roles = ("entry", "router", "control")
@@ -251,7 +251,7 @@
 
     cluster = Cluster(python=sys.executable)
     try:
-        url = cluster.platform(writes_s=100.0)
+        url = cluster.start_platform(writes_s=100.0)
 
         async def run(batch: int, count: int) -> float:
             platform = HttpPlatform(url, 30.0)
--- a/features/environment.py
+++ b/features/environment.py
@@ -4,7 +4,7 @@
 from parse import with_pattern
 
 from tests.launcher import Cluster
-from tests.session import Loop
+from tests.session import EventLoopThread
 
 
 @with_pattern(r"[\w./-]+")
@@ -16,7 +16,7 @@
 
 
 def before_scenario(context, scenario):
-    context.loop = Loop()
+    context.loop = EventLoopThread()
     context.cluster = Cluster()
     if "callers" not in scenario.effective_tags:
         # Only the callers feature tests refusals under load; elsewhere a busy machine may be slow.
@@ -32,6 +32,6 @@
 
 def after_scenario(context, scenario):
     if scenario.status.name not in ("passed", "skipped"):
-        print(context.cluster.tails())
+        print(context.cluster.log_tails())
     context.cluster.stop()
     context.loop.stop()
--- a/features/steps/product.py
+++ b/features/steps/product.py
@@ -11,15 +11,14 @@
 import openai
 import trustme
 from behave import given, then, when
+from calls import entry_url, record_outcome
+from system import workspace_intent
 
 from stairquay.cli import main
 from stairquay.environment import Environment
 from stairquay.status import ExitStatus
 from tests.launcher import OPERATOR_KEY, Answer, http
-from tests.session import LLM, chat, send_chat, send_plain
-
-from calls import entry_url, record_outcome  # isort: skip
-from system import workspace_intent  # isort: skip
+from tests.session import LLM, chat_body, send_chat, send_plain
 
 SHORT_MESSAGES = [{"role": "user", "content": "hello"}]
 
@@ -169,7 +168,7 @@
 
 
 def send_short_prompt(context, workspace, name, tokens=4):
-    body = chat(name, True, tokens)
+    body = chat_body(name, True, tokens)
     return send_chat(entry_url(context, "box-1"), f"key-{workspace}", body)
 
 
@@ -184,7 +183,7 @@
 @when("blue's calm time to first token is measured")
 def _(context):
     calm = context.loop.run(send_blue_prompts(context, 15))
-    context.baseline_first_s = sorted(item.first_s for item in calm)[-1]
+    context.baseline_first_s = sorted(item.first_byte_s for item in calm)[-1]
 
 
 @when("red floods box-1 with {count:d} prompts while blue goes on")
@@ -198,7 +197,7 @@
 @then("blue's prompts are all answered, and none waits over {seconds:g} s")
 def _(context, seconds):
     assert all(item.answered for item in context.blue_outcomes), context.blue_outcomes
-    slowest = max(item.first_s for item in context.blue_outcomes)
+    slowest = max(item.first_byte_s for item in context.blue_outcomes)
     print(f"blue's slowest first token: calm {context.baseline_first_s:.3f} s, under flood {slowest:.3f} s")
     assert slowest < seconds
 
@@ -208,9 +207,11 @@
     refused = [item for item in context.red_outcomes if not item.answered]
     assert refused, "no request was refused"
     for item in refused:
-        assert item.ran == "not run" and item.retry_after and item.code in ("overloaded", "rate_limited"), (
-            item
-        )
+        assert (
+            item.execution_status == "not run"
+            and item.retry_after
+            and item.code in ("overloaded", "rate_limited")
+        ), item
 
 
 @when("the operator limits red to {rate:g} requests a second")
@@ -346,7 +347,7 @@
 
 @when("{workspace:Name} sends the prompt {name:Name} to {box:Name} over TLS")
 def _(context, workspace, name, box):
-    body = chat("over tls", True, 6)
+    body = chat_body("over tls", True, 6)
     url = f"https://127.0.0.1:{context.cluster.boxes[box].entry}"
     record_outcome(
         context, context.loop.run(send_chat(url, f"key-{workspace}", body, tls=context.cluster.tls))
--- a/features/steps/proofs.py
+++ b/features/steps/proofs.py
@@ -1,13 +1,12 @@
 """Steps for stored blocks, plans, leases and network partitions."""
 
 from behave import given, then, when
+from calls import prompt_body, record_outcome, send_prompt
+from system import workspace_intent
 
 from tests.launcher import http
 from tests.session import LLM, all_runs
 
-from calls import prompt_body, record_outcome, send_prompt  # isort: skip
-from system import workspace_intent  # isort: skip
-
 
 @given("engines whose cache events come {seconds:g} s late")
 def _(context, seconds):
@@ -185,8 +184,8 @@
     """Set whether the proxies before the platform and the other boxes' routers refuse connections."""
     for other in context.box_names:
         if other != box:
-            context.cluster.proxy_fault(f"{other}-router", refuse=refuse)
-    context.cluster.proxy_fault("platform", refuse=refuse)
+            context.cluster.set_proxy_fault(f"{other}-router", refuse=refuse)
+    context.cluster.set_proxy_fault("platform", refuse=refuse)
 
 
 @when("{box:Name} holds the lease")
@@ -204,8 +203,8 @@
     cluster.until(is_leading, 15, f"{box} leads")
     for other in others:
         cluster.processes[f"{other}-control"].wait(10)
-        cluster.program(other, "control")
-        cluster.until(lambda other=other: cluster.ready(other, "control"), 15, "control")
+        cluster.start_program(other, "control")
+        cluster.until(lambda other=other: cluster.is_ready(other, "control"), 15, "control")
 
 
 @then("{name:Name} shows at least {count:d} segments")
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,6 @@
-"""Runs every check, and closes with the count of what passed and failed.
+"""Runs linters, tests and scenarios, and prints how many passed and failed.
 
-Files of tests run a few at a time; each is told as it ends, and the slowest cases at the end. A failure that
-KNOWN-RED.txt names is printed, not counted.
+Test files run in parallel. Failures listed in KNOWN-RED.txt are printed but not counted.
 """
 
 import json
@@ -19,16 +18,16 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 BIN = Path(sys.executable).parent
-AT_ONCE = 3
+MAX_PARALLEL_FILES = 3
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 SLOWEST = 10
 SCENARIO_WEIGHT = 4
-"""How many times as long a feature file takes as a file of unit tests of its size."""
+"""Run time of a feature file relative to a file of unit tests of the same size."""
 
 LINT = [
     ["ruff", "format", "--check", "."],
     ["ruff", "check", "."],
-    # A cache that a killed run left broken would fail a sound tree.
+    # No cache: one that a killed run left broken would report false errors.
     ["mypy", "--cache-dir", os.devnull],
     ["lint-imports"],
 ]
@@ -43,8 +42,8 @@
 
 
 @dataclass(frozen=True)
-class Part:
-    """A file of tests, or all checks without one. weight: larger ones are begun first."""
+class TestFile:
+    """A file of tests. Files with a larger weight start first."""
 
     name: str
     run: Callable[[], list[Case]]
@@ -52,7 +51,7 @@
 
 
 def known_red() -> set[str]:
-    """Return the names of tests that are known to fail: what stands before the first `|`."""
+    """Return the tests that are known to fail: the text before the first `|` of each line."""
     if not KNOWN_RED.exists():
         return set()
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
@@ -100,46 +99,46 @@
         if scenario["type"] != "scenario":
             continue
         passed = scenario["status"] == "passed"
-        # Scenarios of an outline end in a blank, which no list of names keeps.
+        # behave appends a blank to the names of outline scenarios.
         name = f"{feature.name}: {scenario['name']}".strip()
         seconds = sum(step.get("result", {}).get("duration", 0.0) for step in scenario["steps"])
         cases.append(Case(name, passed, "" if passed else done.stdout[-12000:], seconds))
     return cases or [Case(str(feature.name), False, done.stdout[-6000:] + done.stderr)]
 
 
-def parts() -> list[Part]:
-    """Return the files of tests, the longest first."""
+def list_test_files() -> list[TestFile]:
+    """Return all test files, the slowest first."""
     units = sorted((ROOT / "tests").rglob("test_*.py"))
     features = sorted((ROOT / "features").glob("*.feature"))
-    found = [Part(file.name, partial(unit_cases, file), _weight(file)) for file in units]
-    found += [Part(file.name, partial(feature_cases, file), _weight(file)) for file in features]
-    return sorted(found, key=lambda part: -part.weight)
+    found = [TestFile(file.name, partial(unit_cases, file), _weight(file)) for file in units]
+    found += [TestFile(file.name, partial(feature_cases, file), _weight(file)) for file in features]
+    return sorted(found, key=lambda item: -item.weight)
 
 
 def _weight(file: Path) -> int:
-    """Return how early a file is begun: scenarios take longer than unit tests of that length."""
+    """Estimate the run time of a file from its size."""
     size = file.stat().st_size
     return size * SCENARIO_WEIGHT if file.suffix == ".feature" else size
 
 
-def run_parts(wanted: list[Part]) -> list[Case]:
-    """Run parts a few at a time, and tell each as it ends."""
+def run_in_parallel(files: list[TestFile]) -> list[Case]:
+    """Run files in parallel, and print each result."""
     cases = []
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        running = {pool.submit(timed, part): part for part in wanted}
+    with ThreadPoolExecutor(MAX_PARALLEL_FILES) as pool:
+        running = {pool.submit(run_timed, file): file for file in files}
         for ended in as_completed(running):
             found, seconds = ended.result()
-            tell(running[ended].name, found, seconds)
+            print_result(running[ended].name, found, seconds)
             cases += found
     return cases
 
 
-def timed(part: Part) -> tuple[list[Case], float]:
+def run_timed(file: TestFile) -> tuple[list[Case], float]:
     started = time.monotonic()
-    return part.run(), time.monotonic() - started
+    return file.run(), time.monotonic() - started
 
 
-def tell(name: str, cases: list[Case], seconds: float) -> None:
+def print_result(name: str, cases: list[Case], seconds: float) -> None:
     failed = sum(not case.passed for case in cases)
     print(f"{seconds:6.1f} s  {len(cases) - failed:3} passed, {failed} failed  {name}", flush=True)
 
@@ -147,8 +146,8 @@
 def main() -> int:
     started = time.monotonic()
     lint = lint_cases()
-    tell("lint, types, import rules", lint, time.monotonic() - started)
-    cases = lint + run_parts(parts())
+    print_result("lint, types, import rules", lint, time.monotonic() - started)
+    cases = lint + run_in_parallel(list_test_files())
     red = known_red()
     failed = [case for case in cases if not case.passed and case.name not in red]
     for case in failed:
--- a/tests/site.py
+++ b/tests/site.py
@@ -1,4 +1,4 @@
-"""A box as a real process, between stand-ins of the users' platform that run on the test's loop."""
+"""Runs a box as a real process, with stand-ins of the platform on the test's event loop."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
 from tests.ports import free_port
-from tests.standins.dialect import Endpoint, StoreBox
+from tests.standins.endpoints import Endpoint, StoreBox
 from tests.standins.table import TableService
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -28,12 +28,12 @@
 
 @dataclass
 class Answer:
-    """What a caller got. `whole` is false where the connection broke."""
+    """The response that a caller got. `complete` is false where the connection broke."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
     took_s: float = 0.0
 
     @property
@@ -86,7 +86,7 @@
 
 @dataclass
 class Site:
-    """The stand-ins, and one box."""
+    """One box and its stand-ins."""
 
     table: TableService
     endpoints: list[Endpoint]
@@ -99,7 +99,7 @@
     peer_address: str = ""
     box: asyncio.subprocess.Process | None = None
     log_lines: list[dict[str, Any]] = field(default_factory=list)
-    reader: asyncio.Task[None] | None = None
+    log_reader: asyncio.Task[None] | None = None
     session: ClientSession | None = None
     bounds: dict[str, float] = field(default_factory=dict)
     limits: dict[str, int] = field(default_factory=dict)
@@ -131,7 +131,7 @@
             stdout=asyncio.subprocess.PIPE,
             limit=2**20,
         )
-        self.reader = asyncio.create_task(self._read_log(self.box))
+        self.log_reader = asyncio.create_task(self._read_log(self.box))
 
     def write_settings(self) -> Path:
         path = self.folder / "local.toml"
@@ -172,14 +172,14 @@
     async def until_ready(self) -> None:
         await eventually(self.is_ready, READY_S)
 
-    async def until_slack(self) -> None:
-        """Wait until the box may send requests again as often as it ever may: a window after its start."""
+    async def until_retry_budget_full(self) -> None:
+        """Wait until the retry budget is full: one window after the start."""
         await eventually(lambda: self.logged("router", outcome="picked"))
         await asyncio.sleep(self.bounds["budget_window_s"])
 
     async def is_ready(self) -> bool:
         assert self.session is not None and self.box is not None
-        assert self.box.returncode is None, "the box ended"
+        assert self.box.returncode is None, "the box process exited"
         try:
             async with self.session.get(f"http://{self.readiness}/-/readyz") as response:
                 return response.status == 200
@@ -210,9 +210,9 @@
                 answer.headers = dict(response.headers)
                 async for chunk in response.content.iter_any():
                     answer.body += chunk
-                answer.whole = True
+                answer.complete = True
         except ClientError:
-            answer.whole = False
+            answer.complete = False
         answer.took_s = asyncio.get_running_loop().time() - started
         return answer
 
@@ -233,7 +233,7 @@
         return [item for item in self.endpoints if item.model]
 
     async def kill_box(self) -> None:
-        """End the box as a loss of power does."""
+        """Kill the box without a shutdown."""
         assert self.box is not None
         self.box.kill()
         await self.box.wait()
@@ -245,8 +245,8 @@
     async def close(self) -> None:
         if self.box is not None and self.box.returncode is None:
             await self.kill_box()
-        if self.reader is not None:
-            await self.reader
+        if self.log_reader is not None:
+            await self.log_reader
         if self.session is not None:
             await self.session.close()
         for part in (*self.endpoints, *self.stores, self.table):
@@ -254,8 +254,8 @@
                 await part.runner.cleanup()
 
 
-def name_version(here: Site, version: int) -> None:
-    """Name new weights, as operators do."""
+def set_target_version(here: Site, version: int) -> None:
+    """Set the version of weights to roll out, as operators do."""
     here.table.put("op", f"version/{MODEL}", {"model": MODEL, "version": version})
 
 
@@ -265,14 +265,14 @@
     return [json.loads(text) for (_, key), (text, _) in rows if key.startswith("box/")]
 
 
-async def eventually(check: Any, limit_s: float = 10.0) -> None:
+async def eventually(check: Any, timeout_s: float = 10.0) -> None:
     """Wait until a check holds; it may be a plain function or a coroutine function."""
-    end = asyncio.get_running_loop().time() + limit_s
+    end = asyncio.get_running_loop().time() + timeout_s
     while True:
-        held = check()
-        if asyncio.iscoroutine(held):
-            held = await held
-        if held:
+        result = check()
+        if asyncio.iscoroutine(result):
+            result = await result
+        if result:
             return
         assert asyncio.get_running_loop().time() < end, "did not hold in time"
         await asyncio.sleep(0.03)
@@ -288,7 +288,7 @@
     halls: tuple[str, ...] = ("hall-a",),
     **bounds: float,
 ) -> AsyncIterator[Site]:
-    """Start stand-ins and a box, and end them. The endpoints of a service stand in the halls in turn."""
+    """Run a box and its stand-ins. The endpoints of a service are spread over the data halls in turn."""
     endpoints = [Endpoint(id=f"p-{number}", service="plain") for number in range(plain)]
     endpoints += [Endpoint(id=f"e-{number}", service="llm", model=MODEL) for number in range(engines)]
     for endpoint in endpoints:
--- a/tests/soak_crashes.py
+++ b/tests/soak_crashes.py
@@ -15,7 +15,7 @@
 
 from tests.many_boxes import several_boxes
 from tests.site import Site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 
 MAX_PROPAGATION_S = 3.0
 """Time within which all boxes must learn of a third crash."""
@@ -142,7 +142,7 @@
                 body = f"prompt {number}".encode()
                 answer = await box.prompt(f"/again/{number}", call_id=call_id, body=body)
             self.outcome.sent += 1
-            if answer.whole and answer.status == 200:
+            if answer.complete and answer.status == 200:
                 self.outcome.answered += 1
                 return
             if answer.status == 503 and b"quarantined" in answer.body:
@@ -198,7 +198,7 @@
         self.table.remove("servers", endpoint.id)
         self.restart_count += 1
         endpoint.id = f"{endpoint.id.partition('+')[0]}+{self.restart_count}"
-        await endpoint.again()
+        await endpoint.restart()
         self.table.put("servers", endpoint.id, endpoint.entry())
 
 
@@ -210,8 +210,8 @@
     async with several_boxes(boxes) as sites:
         for endpoint in sites[0].endpoints:
             endpoint.crashes_on = b"POISON"
-            endpoint.heard = bool(endpoint.model)
-            endpoint.events_made, endpoint.event_s = 12, 0.02
+            endpoint.crash_after_head = bool(endpoint.model)
+            endpoint.event_count, endpoint.event_s = 12, 0.02
         soak_run = Soak(sites, Random(seed), seconds)
         outcome = await soak_run.run()
         if story is not None:
--- a/tests/soak_statements.py
+++ b/tests/soak_statements.py
@@ -18,7 +18,7 @@
 
 from tests.many_boxes import several_boxes
 from tests.site import Site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 
 MAX_PROPAGATION_S, REACTION_S, WINDOW_S = 3.0, 0.5, 4.0
 """As in tests.test_limits; REACTION_S: when a limit binds a box after the box got it."""
@@ -199,11 +199,11 @@
         random = Random(self.random.random())
         while self._running():
             await asyncio.sleep(random.uniform(2.0, 12.0))
-            endpoint.rest = random.choice(RETRY_AFTER_VALUES)
-            if endpoint.rest == "a date":
+            endpoint.retry_after = random.choice(RETRY_AFTER_VALUES)
+            if endpoint.retry_after == "a date":
                 until = datetime.now(UTC).replace(microsecond=0) + timedelta(seconds=4)
-                endpoint.rest = format_datetime(until, usegmt=True)
-                self.backoff_until_by_date[endpoint.rest] = (
+                endpoint.retry_after = format_datetime(until, usegmt=True)
+                self.backoff_until_by_date[endpoint.retry_after] = (
                     loop_time() + (until - datetime.now(UTC)).total_seconds()
                 )
             endpoint.refuse = 100_000
@@ -240,13 +240,13 @@
 
     async def _check_recovery(self) -> None:
         """Send requests until all endpoints get work again, or a timeout."""
-        before = {endpoint.id: len(endpoint.arrived) for endpoint in self.endpoints}
+        before = {endpoint.id: len(endpoint.arrivals) for endpoint in self.endpoints}
         until = loop_time() + 20.0
         while loop_time() < until and self.outcome.healed < len(self.endpoints):
             both = (box.call("/plain/x", call_id="heal") for box in self.boxes for _ in range(4))
             prompts = (box.prompt("/again/x", call_id="heal") for box in self.boxes for _ in range(8))
             await asyncio.gather(*both, *prompts)
-            got = (len(endpoint.arrived) - before[endpoint.id] > 5 for endpoint in self.endpoints)
+            got = (len(endpoint.arrivals) - before[endpoint.id] > 5 for endpoint in self.endpoints)
             self.outcome.healed = sum(got)
 
     def _is_connected(self, box: str, at: float) -> bool:
@@ -258,12 +258,12 @@
     def _check_leaving(self, endpoint: Endpoint) -> None:
         """Check that no box sends later than DRAIN_S after the same incarnation told it that it leaves."""
         told_at_by_box: dict[tuple[str, float], float] = {}
-        for at, call_id in endpoint.told_leaving:
+        for at, call_id in endpoint.leaving_sent:
             box = self.box_by_call.get(call_id)
             if box is not None:
                 self.outcome.leavings += 1
                 told_at_by_box.setdefault((box, self._incarnation_at(endpoint, at)), at)
-        for at, call_id in endpoint.arrived:
+        for at, call_id in endpoint.arrivals:
             box = self.box_by_call.get(call_id)
             if box is None:
                 continue
@@ -277,7 +277,7 @@
 
     def _check_backoffs(self, endpoint: Endpoint) -> None:
         """Check that a box sends at most MAX_DURING_BACKOFF requests while in back-off."""
-        for at, call_id, text in endpoint.rested:
+        for at, call_id, text in endpoint.retry_after_sent:
             box = self.box_by_call.get(call_id)
             until = self._backoff_until(at, text)
             if box is None or self._was_down_between(box, at, until):
@@ -287,7 +287,7 @@
             self.outcome.rests += 1
             got = sum(
                 at + BACKOFF_REACTION_S < sent < until and self.box_by_call.get(other) == box
-                for sent, other in endpoint.arrived
+                for sent, other in endpoint.arrivals
             )
             if got > MAX_DURING_BACKOFF:
                 self.outcome.broken.append(f"{endpoint.id}: {got} from {box} in {until - at:.2f} s of rest")
@@ -303,18 +303,18 @@
         since = max([period.limits[0][0], *restarted_at])
         told = [
             told_at
-            for told_at, call_id in endpoint.named
+            for told_at, call_id in endpoint.limits_sent
             if since <= told_at <= at and self.box_by_call.get(call_id) == box
         ]
         return min(told, default=float("inf"))
 
     def _check_limits(self, endpoint: Endpoint, period: LimitPeriod) -> None:
-        limit_sent_at = [at for at, _ in endpoint.named if period.limits[0][0] <= at < period.until]
+        limit_sent_at = [at for at, _ in endpoint.limits_sent if period.limits[0][0] <= at < period.until]
         if not limit_sent_at:
             return
         counted = [
             at
-            for at, call_id in endpoint.arrived
+            for at, call_id in endpoint.arrivals
             if limit_sent_at[0] <= at < period.until
             and (box := self.box_by_call.get(call_id)) is not None
             and self._is_connected(box, at)
@@ -339,7 +339,7 @@
         """Describe the requests of a window, by box, in seconds from its start."""
         arrivals = [
             f"{self.box_by_call.get(call_id)} {at - start:.2f}"
-            for at, call_id in endpoint.arrived
+            for at, call_id in endpoint.arrivals
             if start <= at < start + WINDOW_S
         ]
         return f"{endpoint.id}, limit {limit}, life {endpoint.born}: {', '.join(arrivals)}"
@@ -349,9 +349,9 @@
     """Run a soak and return its result."""
     async with several_boxes(boxes) as sites:
         for endpoint in sites[0].endpoints:
-            endpoint.hold_s, endpoint.born = 0.03, 1_000
+            endpoint.delay_s, endpoint.born = 0.03, 1_000
             sites[0].table.put("servers", endpoint.id, endpoint.entry())
-            endpoint.events_made, endpoint.event_s = 6, 0.02
+            endpoint.event_count, endpoint.event_s = 6, 0.02
         return await Soak(sites, Random(seed), seconds).run()
 
 
--- a/tests/standins/serving.py
+++ b/tests/standins/serving.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: parameters as JSON in the first argument, one HTTP server, faults by POST."""
+"""Common to the stand-ins: parameters as JSON in the first argument, an HTTP server, faults by POST."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 T = TypeVar("T")
 
 
-def parameters(kind: type[T]) -> T:
+def parse_parameters(kind: type[T]) -> T:
     return msgspec.json.decode(sys.argv[1], type=kind)
 
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -9,7 +9,7 @@
 
 from tests.many_boxes import two_boxes
 from tests.site import Answer, Site, eventually, site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 
 POISON = b"crash"
 PROMPT = b"a prompt, crash"
@@ -28,7 +28,7 @@
 ) -> AsyncIterator[Site]:
     """Start a box with its full retry budget, whose endpoints crash on one request."""
     async with site(plain=plain, engines=engines, budget_window_s=1, **bounds) as here:
-        await here.until_slack()
+        await here.until_retry_budget_full()
         make_endpoints_crash(here)
         yield here
 
@@ -88,7 +88,7 @@
     async def scenario():
         async with site_with_crashing_endpoints() as here:
             for endpoint in here.endpoints:
-                endpoint.heard = True
+                endpoint.crash_after_head = True
             assert (await send_crashing_requests(here, 4)).status == 503
             assert crash_count(here) == 3
 
@@ -98,7 +98,7 @@
 def test_another_box_sends_nothing_of_a_prompt_that_crashed_three_engines_at_this_one():
     async def scenario():
         async with two_boxes(engines=7, budget_window_s=1) as (first, second):
-            await first.until_slack()
+            await first.until_retry_budget_full()
             make_endpoints_crash(first)
             await send_crashing_requests(first, 2)
             assert crash_count(first) == 3
@@ -148,7 +148,7 @@
             await send_crashing_requests(here, 2)
             await eventually(lambda: here.table.get("stairquay-crashes", "box-1@127.0.0.1"))
             await here.kill_box()
-            here.table.late_s_by_table = {"stairquay-crashes": 1.0}
+            here.table.delay_s_by_table = {"stairquay-crashes": 1.0}
             await here.start_box()
             await here.until_ready()
             await send_crashing_requests(here, 3, name="just-started")
@@ -196,7 +196,7 @@
 def test_resets_of_engines_that_go_on_count_for_nothing():
     async def scenario():
         async with site(plain=0, engines=6, budget_window_s=1) as here:
-            await here.until_slack()
+            await here.until_retry_budget_full()
             for endpoint in here.endpoints:
                 endpoint.break_after = 1
             for number in range(6):
@@ -226,15 +226,15 @@
     """Send the request, and crash the endpoint that holds it."""
     crashes_before = len(here.logged("crashed"))
     for endpoint in here.endpoints:
-        endpoint.hold_s = 0.3
+        endpoint.delay_s = 0.3
     call = asyncio.create_task(here.call("/open/x", key=None, call_id=call_id))
     await eventually(lambda: endpoints_holding(here, call_id))
     for endpoint in here.endpoints:
-        endpoint.hold_s = 0.0
+        endpoint.delay_s = 0.0
     endpoints_holding(here, call_id)[0].crash()
     await call
     await eventually(lambda: len(here.logged("crashed")) > crashes_before)
 
 
 def endpoints_holding(here: Site, call_id: str) -> list[Endpoint]:
-    return [item for item in here.endpoints if any(taken.id == call_id for taken in item.taken)]
+    return [item for item in here.endpoints if any(taken.id == call_id for taken in item.received)]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,9 +10,9 @@
 
 from stairquay.explain import Logs, explain_request
 from stairquay.serving.messages import Outcome, PlaceReply
-from tests.many_boxes import placed_prompt, routed, two_boxes
+from tests.many_boxes import prompt_until_placed, routed_box, two_boxes
 from tests.site import Answer, Site, configuration, eventually, site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 
 MAX_PROPAGATION_S = 3.0
 """Seconds after an endpoint first states a limit from which all boxes must keep to it."""
@@ -37,7 +37,7 @@
 
 def max_window_count(endpoint: Endpoint, limit_since: float) -> int:
     """Return the most requests that an endpoint got in a window once the limit binds."""
-    times = [at for at, _ in endpoint.arrived if at >= limit_since + MAX_PROPAGATION_S]
+    times = [at for at, _ in endpoint.arrivals if at >= limit_since + MAX_PROPAGATION_S]
     return max((sum(at <= other < at + WINDOW_S for other in times) for at in times), default=0)
 
 
@@ -45,7 +45,7 @@
     """Return the fewest requests that an endpoint got in a window once the limit binds."""
     starts = [limit_since + MAX_PROPAGATION_S + step / 10 for step in range(200)]
     return min(
-        sum(start <= at < start + WINDOW_S for at, _ in endpoint.arrived)
+        sum(start <= at < start + WINDOW_S for at, _ in endpoint.arrivals)
         for start in starts
         if start + WINDOW_S <= until
     )
@@ -106,7 +106,7 @@
             assert max_window_count(limited, started_at) <= max_in_window(3)
             assert min_window_count(limited, started_at, loop_time()) >= 3 * WINDOW_S / 2
             assert [answer.status for answer in answers] == [200] * len(answers)
-            assert len(other.taken) > len(limited.taken)
+            assert len(other.received) > len(limited.received)
 
     asyncio.run(scenario())
 
@@ -180,32 +180,32 @@
         async with single_box(plain=2) as here:
             limited = here.endpoints[0]
             for endpoint in here.endpoints:
-                endpoint.hold_s = 0.05
+                endpoint.delay_s = 0.05
             for limit in ("0", "0.01", "1"):
                 limited.limit = limit
                 await send_load(lambda n, limit=limit: here.call("/plain/x", call_id=f"{limit}-{n}"), 20, 3.0)
                 limited.limit = None
-                before = len(limited.taken)
+                before = len(limited.received)
                 answers = await send_load(
                     lambda n, limit=limit: here.call("/plain/y", call_id=f"{limit}-e{n}"), 20, 8
                 )
                 assert [answer.status for answer in answers] == [200] * len(answers)
-                assert len(limited.taken) - before >= 20
+                assert len(limited.received) - before >= 20
 
     asyncio.run(scenario())
 
 
 def test_a_box_that_was_told_of_a_limit_tells_a_router_that_does_not_know_of_it():
     async def scenario():
-        async with routed(plain=0, engines=2) as (here, router):
+        async with routed_box(plain=0, engines=2) as (here, router):
             limited = here.engines()[0]
             limited.limit = "1"
             router.reply = PlaceReply(endpoint=limited.id, version=1, scope="/m/1", first_token_s=0.02)
-            await placed_prompt(here, router, "first")
-            router.asked.clear()
+            await prompt_until_placed(here, router, "first")
+            router.place_requests.clear()
             started_at = loop_time()
             answers = await send_load(lambda n: here.prompt("/again/x", call_id=f"press-{n}"), 10, 8.0)
-            feedback = [item.said[0] for item in router.asked if item.said]
+            feedback = [item.said[0] for item in router.place_requests if item.said]
             assert feedback and feedback[0].endpoint == limited.id and feedback[0].per_s == 1.0
             assert any(ended.outcome == Outcome.NOT_SENT for ended in router.ended)
             assert max_window_count(limited, started_at) <= max_in_window(1)
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 
 from tests.many_boxes import two_boxes
-from tests.site import KEY, Site, configuration, eventually, name_version, site
+from tests.site import KEY, Site, configuration, eventually, set_target_version, site
 from tests.test_crashes import crash_count, make_endpoints_crash, send_crashing_requests, wait_for_quarantine
 
 MAX_PROPAGATION_S = 3.0
@@ -36,7 +36,7 @@
 
     write_again: repeats the lost writes of operators and endpoints
     """
-    copy = here.table.copy()
+    copy = here.table.snapshot()
     await write_after_copy()
     here.table.down = True
     await asyncio.sleep(OUTAGE_S)
@@ -67,10 +67,10 @@
             await asyncio.sleep(1.0)
             here.table.put("op", "evacuate/hall-a", {})
             await asyncio.sleep(MAX_PROPAGATION_S)
-            before = len(here.endpoints[0].taken)
+            before = len(here.endpoints[0].received)
             for number in range(10):
                 assert (await here.call("/plain/x", call_id=f"call-{number}")).status == 200
-            assert len(here.endpoints[0].taken) == before
+            assert len(here.endpoints[0].received) == before
 
     asyncio.run(scenario())
 
@@ -115,20 +115,20 @@
     async def scenario():
         async with two_boxes(plain=0, engines=1, lease_ms=600) as (first, second):
             engine = first.engines()[0]
-            copy = first.table.copy()
+            copy = first.table.snapshot()
             for key in list(copy.rows_by_key):
                 if key[1].startswith("lease"):
                     del copy.rows_by_key[key]
-            name_version(first, 2)
+            set_target_version(first, 2)
             await eventually(lambda: engine.version == 2)
             leaseholder = first if first.logged("lease", outcome="taken") else second
             await leaseholder.kill_box()
             first.table.down = True
             await asyncio.sleep(OUTAGE_S)
             first.table.restore(copy)
-            name_version(first, 2)
+            set_target_version(first, 2)
             first.table.down = False
-            name_version(first, 3)
+            set_target_version(first, 3)
             await eventually(lambda: engine.version == 3, 15.0)
             tokens_by_holder = {order["holder"]: order["fencing_token"] for order in engine.orders}
             assert len(tokens_by_holder) == 2 and len(set(tokens_by_holder.values())) == 2
@@ -139,9 +139,9 @@
 def test_a_request_that_crashes_endpoints_stays_refused_at_all_boxes():
     async def scenario():
         async with two_boxes(plain=0, engines=7, budget_window_s=1) as (first, second):
-            await first.until_slack()
+            await first.until_retry_budget_full()
             make_endpoints_crash(first)
-            copy = first.table.copy()
+            copy = first.table.snapshot()
             await send_crashing_requests(first, 2)
             assert crash_count(first) == 3
             await wait_for_quarantine(first, second)
--- a/tests/test_router_box.py
+++ b/tests/test_router_box.py
@@ -13,7 +13,7 @@
     PlaceRequest,
     PromptPart,
 )
-from tests.many_boxes import routing
+from tests.many_boxes import router_box
 from tests.site import MODEL, SCOPE, Site, eventually, route
 
 SLOTS = 8
@@ -55,8 +55,8 @@
 
 def test_a_router_spreads_what_it_places_and_counts_it_until_it_has_ended():
     async def scenario():
-        async with routing(engines=3) as (here, client):
-            await eventually(lambda: all(engine.asked_report for engine in here.engines()))
+        async with router_box(engines=3) as (here, client):
+            await eventually(lambda: all(engine.report_requests for engine in here.engines()))
             for number in range(MAX_ROUNDS):
                 await asyncio.sleep(0.4 if number == 0 else ROUND_EXPIRY_S)
                 counts, refilled, took_s = await _fill_and_refill(here, client, f"round-{number}")
@@ -71,8 +71,8 @@
 
 def test_a_router_avoids_an_engine_that_fails_what_is_sent_there():
     async def scenario():
-        async with routing(engines=2) as (here, client):
-            await eventually(lambda: all(engine.asked_report for engine in here.engines()))
+        async with router_box(engines=2) as (here, client):
+            await eventually(lambda: all(engine.report_requests for engine in here.engines()))
             for number in range(4):
                 reply = await client.place(place_request(f"r{number}", tried=("e-1",)), 1.0)
                 assert reply.endpoint == "e-0"
@@ -85,8 +85,8 @@
 
 def test_a_prompt_that_is_given_up_does_not_count_as_work_of_its_engine():
     async def scenario():
-        async with routing(engines=1) as (here, client):
-            await eventually(lambda: here.engines()[0].asked_report)
+        async with router_box(engines=1) as (here, client):
+            await eventually(lambda: here.engines()[0].report_requests)
             busy = await client.place(place_request("r0", tokens=90_000), 1.0)
             assert busy.endpoint == "e-0"
             queued_replies = [
@@ -102,7 +102,7 @@
 
 def test_a_router_names_the_scope_of_a_walled_workspace_and_leaves_out_tried_engines():
     async def scenario():
-        async with routing(engines=2) as (_, client):
+        async with router_box(engines=2) as (_, client):
             reply = await client.place(place_request("r1", wall="w2", tried=("e-0",)), 1.0)
             assert (reply.endpoint, reply.scope) == ("e-1", f"w2{SCOPE}")
             none = await client.place(place_request("r2", tried=("e-0", "e-1")), 1.0)
@@ -114,7 +114,7 @@
 
 def test_a_router_passes_on_the_configuration_and_the_list_with_their_ages():
     async def scenario():
-        async with routing(engines=1) as (here, client):
+        async with router_box(engines=1) as (here, client):
             snapshot = await client.operators(OperatorsRequest(0, 0.0), 1.0)
             assert snapshot.changes.catalog.version == 1 and snapshot.age_s < 1.5
             assert "key-one" in snapshot.changes.catalog.workspaces_by_key
@@ -138,7 +138,7 @@
 
 def test_a_router_whose_list_grows_old_says_so_without_waiting_longer():
     async def scenario():
-        async with routing(drain_ms=2000) as (here, client):
+        async with router_box(drain_ms=2000) as (here, client):
             listed = await client.endpoints(EndpointsRequest(0, 0.0), 1.0)
             here.table.down = True
             started_at = asyncio.get_running_loop().time()
@@ -150,7 +150,7 @@
 
 def test_a_router_that_stops_closes_its_channels():
     async def scenario():
-        async with routing(engines=1) as (here, client):
+        async with router_box(engines=1) as (here, client):
             assert (await client.place(place_request("r1"), 1.0)).endpoint == "e-0"
             here.stop_box()
             await eventually(lambda: here.logged("router", outcome="closed"))
--- a/tests/test_statements.py
+++ b/tests/test_statements.py
@@ -8,9 +8,9 @@
 
 from stairquay.explain import Logs, explain_request
 from stairquay.serving.messages import Outcome, PlaceReply
-from tests.many_boxes import placed_prompt, routed, two_boxes
+from tests.many_boxes import prompt_until_placed, routed_box, two_boxes
 from tests.site import Answer, Site, eventually, site
-from tests.standins.dialect import Endpoint
+from tests.standins.endpoints import Endpoint
 from tests.test_limits import loop_time, refused_with_retry_after, send_load, single_box
 
 DRAIN_S = 2.0
@@ -28,12 +28,12 @@
 def requests_after_leaving(endpoint: Endpoint) -> list[str]:
     """Return the requests from boxes that knew for more than DRAIN_S that the endpoint leaves."""
     told_at_by_box: dict[str, float] = {}
-    for at, call_id in endpoint.told_leaving:
+    for at, call_id in endpoint.leaving_sent:
         told_at_by_box.setdefault(sending_box(call_id), at)
     never = float("inf")
     return [
         call_id
-        for at, call_id in endpoint.arrived
+        for at, call_id in endpoint.arrivals
         if at > told_at_by_box.get(sending_box(call_id), never) + DRAIN_S
     ]
 
@@ -43,26 +43,26 @@
     counts = [
         sum(
             sending_box(sent) == sending_box(asked) and asked_at + BACKOFF_REACTION_S < at < asked_at + rest_s
-            for at, sent in endpoint.arrived
+            for at, sent in endpoint.arrivals
         )
-        for asked_at, asked, _ in endpoint.rested
+        for asked_at, asked, _ in endpoint.retry_after_sent
     ]
     return max(counts, default=0)
 
 
 def request_backoff(endpoint: Endpoint, rest: str) -> None:
-    endpoint.refuse, endpoint.rest = 100_000, rest
+    endpoint.refuse, endpoint.retry_after = 100_000, rest
 
 
 def test_a_plain_endpoint_that_said_that_it_leaves_gets_nothing_though_its_entry_says_ready():
     async def scenario():
         async with single_box(plain=2) as here:
             leaving, other = here.endpoints
-            leaving.leaving, other.hold_s = "1", 0.3
+            leaving.leaving, other.delay_s = "1", 0.3
             answers = await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 4.0)
-            assert leaving.told_leaving and not requests_after_leaving(leaving)
+            assert leaving.leaving_sent and not requests_after_leaving(leaving)
             assert [answer.status for answer in answers] == [200] * len(answers)
-            assert len(other.taken) > len(leaving.taken)
+            assert len(other.received) > len(leaving.received)
             here.table.put("servers", leaving.id, leaving.entry() | {"sequence": 2})
             leaving.leaving = None
             await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 1.0)
@@ -80,7 +80,7 @@
             answers = await send_load(
                 lambda n: boxes[n % 2].prompt("/again/x", call_id=f"{n % 2} {n}"), 20, 5.0
             )
-            assert leaving.told_leaving and not requests_after_leaving(leaving)
+            assert leaving.leaving_sent and not requests_after_leaving(leaving)
             assert [answer.status for answer in answers][:40] == [200] * 40
 
     asyncio.run(scenario())
@@ -103,8 +103,10 @@
             await send_load(send_either, 30, 5.0)
             assert loop_time() - started_at >= 5.0
             for leaving, overloaded, _ in (here.endpoints[:3], here.engines()):
-                assert leaving.told_leaving and not requests_after_leaving(leaving)
-                assert overloaded.rested and max_during_backoff(overloaded, 3.0) <= MAX_DURING_BACKOFF
+                assert leaving.leaving_sent and not requests_after_leaving(leaving)
+                assert (
+                    overloaded.retry_after_sent and max_during_backoff(overloaded, 3.0) <= MAX_DURING_BACKOFF
+                )
 
     asyncio.run(scenario())
 
@@ -114,15 +116,18 @@
         async with single_box(plain=2, budget_slack=10_000) as here:
             overloaded, other = here.endpoints
             request_backoff(overloaded, "2.5")
-            other.hold_s = 0.4
+            other.delay_s = 0.4
             answers = await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 6.0)
-            assert len(overloaded.rested) >= 2 and max_during_backoff(overloaded, 2.5) <= MAX_DURING_BACKOFF
+            assert (
+                len(overloaded.retry_after_sent) >= 2
+                and max_during_backoff(overloaded, 2.5) <= MAX_DURING_BACKOFF
+            )
             assert [answer.status for answer in answers] == [200] * len(answers)
             overloaded.refuse = 0
             await asyncio.sleep(2.5)
-            before = len(overloaded.taken)
+            before = len(overloaded.received)
             await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 3.0)
-            assert len(overloaded.taken) - before >= 20
+            assert len(overloaded.received) - before >= 20
 
     asyncio.run(scenario())
 
@@ -135,8 +140,8 @@
             answers = await send_load(
                 lambda n: boxes[n % 2].prompt("/again/x", call_id=f"{n % 2} {n}"), 20, 5.0
             )
-            assert overloaded.rested and max_during_backoff(overloaded, 3.0) <= MAX_DURING_BACKOFF
-            turned_away = {call_id for _, call_id, _ in overloaded.rested}
+            assert overloaded.retry_after_sent and max_during_backoff(overloaded, 3.0) <= MAX_DURING_BACKOFF
+            turned_away = {call_id for _, call_id, _ in overloaded.retry_after_sent}
             failed = {f"{n % 2} {n}" for n, answer in enumerate(answers) if answer.status != 200}
             assert failed <= turned_away, "only requests that the endpoint turned away may fail"
 
@@ -148,7 +153,7 @@
         async with single_box(plain=2, budget_slack=10_000) as here:
             for endpoint in here.endpoints:
                 request_backoff(endpoint, "2.5")
-                endpoint.hold_s = 0.05
+                endpoint.delay_s = 0.05
             started_at = loop_time()
             first = await here.call("/plain/x", call_id="box first")
             assert first.status == 503 and 2.0 < float(first.headers["Retry-After"]) <= 2.51
@@ -162,10 +167,10 @@
             await asyncio.sleep(started_at + 2.6 - loop_time())
             for endpoint in here.endpoints:
                 endpoint.refuse_s = 0.2
-            before = [len(endpoint.arrived) for endpoint in here.endpoints]
+            before = [len(endpoint.arrivals) for endpoint in here.endpoints]
             retries = (here.call("/plain/x", call_id=f"box herd-{n}") for n in range(40))
             await asyncio.gather(*retries)
-            now = [len(endpoint.arrived) for endpoint in here.endpoints]
+            now = [len(endpoint.arrivals) for endpoint in here.endpoints]
             assert max(after - prior for after, prior in zip(now, before, strict=True)) <= MAX_DURING_BACKOFF
 
     asyncio.run(scenario())
@@ -189,9 +194,11 @@
         async with single_box(plain=2, budget_slack=10_000) as here:
             overloaded, other = here.endpoints
             request_backoff(overloaded, "0.05")
-            other.hold_s = 0.4
+            other.delay_s = 0.4
             await send_load(lambda n: here.call("/plain/x", call_id=f"box {n}"), 20, 3.0)
-            retried = {item.id for item in other.taken} & {call_id for _, call_id, _ in overloaded.rested}
+            retried = {item.id for item in other.received} & {
+                call_id for _, call_id, _ in overloaded.retry_after_sent
+            }
             assert len(retried) >= 2
             assert f'stairquay_repeats_total{{service="plain"}} {len(retried)}.0' in await here.metrics()
 
@@ -200,20 +207,20 @@
 
 def test_a_box_tells_a_router_that_does_not_know_which_endpoint_leaves_and_which_wants_rest():
     async def scenario():
-        async with routed(plain=0, engines=2) as (here, router):
+        async with routed_box(plain=0, engines=2) as (here, router):
             leaving, overloaded = here.engines()
             leaving.leaving = "1"
             router.reply = PlaceReply(endpoint=leaving.id, version=1, scope="/m/1", first_token_s=0.02)
-            await placed_prompt(here, router, "first")
+            await prompt_until_placed(here, router, "first")
             request_backoff(overloaded, "3")
             router.reply = PlaceReply(endpoint=overloaded.id, version=1, scope="/m/1", first_token_s=0.02)
-            await placed_prompt(here, router, "second")
-            router.asked.clear()
+            await prompt_until_placed(here, router, "second")
+            router.place_requests.clear()
             router.reply = PlaceReply(endpoint=leaving.id, version=1, scope="/m/1", first_token_s=0.02)
-            before = len(leaving.arrived), len(overloaded.arrived)
+            before = len(leaving.arrivals), len(overloaded.arrivals)
             answers = await send_load(lambda n: here.prompt("/again/x", call_id=f"box {n}"), 10, 1.5)
-            assert (len(leaving.arrived), len(overloaded.arrived)) == before
-            feedback = [item for asked in router.asked for item in asked.said]
+            assert (len(leaving.arrivals), len(overloaded.arrivals)) == before
+            feedback = [item for asked in router.place_requests for item in asked.said]
             assert any(item.endpoint == leaving.id and item.leaving for item in feedback)
             assert any(item.endpoint == overloaded.id and 0 < item.rest_s <= 3 for item in feedback)
             assert any(ended.outcome == Outcome.NOT_SENT for ended in router.ended)
@@ -226,7 +233,7 @@
     async def scenario():
         async with two_boxes(plain=2) as (first, second):
             leaving, other = first.endpoints
-            leaving.leaving, other.hold_s = "1", 0.3
+            leaving.leaving, other.delay_s = "1", 0.3
             await eventually(lambda: is_told_leaving(first, leaving))
             known = f'stairquay_endpoint_leaving{{endpoint="{leaving.id}"}} 1.0'
 
@@ -234,13 +241,13 @@
                 return known in await second.metrics()
 
             await eventually(second_knows, 3.0)
-            before = len(leaving.arrived)
+            before = len(leaving.arrivals)
             await send_load(lambda n: second.call("/plain/x", call_id=f"second {n}"), 20, 1.0)
-            assert len(leaving.arrived) == before
+            assert len(leaving.arrivals) == before
 
     async def is_told_leaving(here: Site, endpoint: Endpoint) -> bool:
         await here.call("/plain/x", call_id="first")
-        return bool(endpoint.told_leaving)
+        return bool(endpoint.leaving_sent)
 
     asyncio.run(scenario())
 
@@ -255,7 +262,7 @@
                 await asyncio.sleep(0.4)
                 call.cancel()
             for engine in here.engines():
-                assert engine.told_leaving and not requests_after_leaving(engine)
+                assert engine.leaving_sent and not requests_after_leaving(engine)
                 assert here.logged("leaving", endpoint=engine.id)
             assert not here.logged("ended", outcome="answered")
 
@@ -268,7 +275,7 @@
             first, second, engine = here.endpoints
             engine.leaving = "1"
             assert (await here.prompt(call_id="llm")).status == 200
-            first.rest = second.rest = "2.5"
+            first.retry_after = second.retry_after = "2.5"
             first.refuse = second.refuse = 1
             await here.call("/plain/x", call_id="turned-away")
             await asyncio.sleep(0.5)
@@ -293,7 +300,7 @@
             for text in ("0", "0", "perhaps"):
                 endpoint.leaving = text
                 assert (await here.call("/plain/x", call_id=f"odd-{text}")).status == 200
-            endpoint.leaving, endpoint.rest, endpoint.refuse = None, "a while", 1
+            endpoint.leaving, endpoint.retry_after, endpoint.refuse = None, "a while", 1
             await here.call("/plain/x", call_id="odd-rest")
             await asyncio.sleep(0.5)
             assert [line["text"] for line in here.logged("leaving", outcome="unreadable")] == ["0", "perhaps"]
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -7,7 +7,7 @@
 
 from stairquay.core.versions import MAX_RECORDS, VersionHistory
 from stairquay.serving.boxes import KEY_PREFIX
-from tests.site import box_rows, eventually, name_version, site
+from tests.site import box_rows, eventually, set_target_version, site
 
 MAX_VERSION_AGE_MS = 1_500
 """Age after which replaced weights must not be used in these tests."""
@@ -54,11 +54,11 @@
         async with site(plain=0, engines=1, version_ms=MAX_VERSION_AGE_MS) as here:
             here.engines()[0].load_s = 60.0
             for version in (2, 3):
-                name_version(here, version)
+                set_target_version(here, version)
                 await eventually(lambda version=version: here.logged("version_named", version=version))
                 await asyncio.sleep(0.9)
             answer = await here.prompt()
-            assert answer.status == 503 and not here.engines()[0].taken
+            assert answer.status == 503 and not here.engines()[0].received
 
     asyncio.run(scenario())
 
@@ -67,7 +67,7 @@
     async def scenario():
         async with site(plain=0, engines=1, version_ms=20_000) as here:
             here.engines()[0].load_s = 60.0
-            name_version(here, 2)
+            set_target_version(here, 2)
             await eventually(lambda: here.logged("version_named", version=2, source="operators"))
             await asyncio.sleep(0.5)
             assert (await here.prompt()).status == 200
@@ -84,7 +84,7 @@
     async def scenario():
         async with site(plain=0, engines=1, version_ms=2 * MAX_VERSION_AGE_MS) as here:
             here.engines()[0].load_s = 60.0
-            name_version(here, 2)
+            set_target_version(here, 2)
             await eventually(lambda: here.logged("version_named", version=2))
             await asyncio.sleep(1.0)
             await here.kill_box()
@@ -93,7 +93,7 @@
             await here.until_ready()
             await asyncio.sleep(0.7)
             answer = await here.prompt()
-            assert answer.status == 503 and not here.engines()[0].taken
+            assert answer.status == 503 and not here.engines()[0].received
 
     asyncio.run(scenario())
 
@@ -107,14 +107,14 @@
             # The box must have written its first row before it is killed.
             await eventually(lambda: box_rows(here) and box_rows(here)[0]["viewed_at_s"] is not None)
             await here.kill_box()
-            name_version(here, 2)
+            set_target_version(here, 2)
             named_at = asyncio.get_running_loop().time()
             await asyncio.sleep(2.2)
             await here.start_box()
             await here.until_ready()
             await asyncio.sleep(max(0.0, named_at + 3.1 - asyncio.get_running_loop().time()))
             answer = await here.prompt()
-            assert answer.status == 503 and not here.engines()[0].taken
+            assert answer.status == 503 and not here.engines()[0].received
 
     asyncio.run(scenario())
 
@@ -128,7 +128,7 @@
             # From its second heartbeat on, a box pauses for four seconds.
             await eventually(lambda: box_rows(here) and box_rows(here)[0]["beat"] == 2)
             here.table.refused_by_prefix = {KEY_PREFIX: 1}
-            name_version(here, 2)
+            set_target_version(here, 2)
             await eventually(lambda: here.logged("version_named", version=2))
             await eventually(lambda: 2 in [named["version"] for named in box_rows(here)[0]["named"]], 1.5)
             assert here.table.refused_by_prefix == {KEY_PREFIX: 0}
@@ -141,7 +141,7 @@
         async with site(plain=0, engines=1) as here:
             here.engines()[0].load_s = 60.0
             here.table.refused_by_prefix = {KEY_PREFIX: 100}
-            name_version(here, 2)
+            set_target_version(here, 2)
             await eventually(lambda: here.logged("version_named", version=2))
             await asyncio.sleep(2.0)
             assert 1 <= 100 - here.table.refused_by_prefix[KEY_PREFIX] <= 5
