--- a/stairquay/core/admission.py
+++ b/stairquay/core/admission.py
@@ -18,7 +18,7 @@
 """Share of `max_wait_s` that a new conversation may be predicted to wait."""
 
 MAX_IDLE_TAGS = 16
-"""Idle workspaces whose tags may stay before stale tags are dropped."""
+"""Finish tags kept, besides two for each waiting workspace, before stale ones are dropped."""
 
 
 @dataclass
--- a/stairquay/core/attempt.py
+++ b/stairquay/core/attempt.py
@@ -45,7 +45,7 @@
 
 
 class Attempt:
-    """State of one attempt. All attempts share one state machine unbound, since binding is slow."""
+    """State of one attempt. All share one state machine without binding to it, which is slow."""
 
     def __init__(self, run_id: str, endpoint: str) -> None:
         self.run_id = run_id
--- a/stairquay/core/budget.py
+++ b/stairquay/core/budget.py
@@ -25,9 +25,9 @@
 class WindowedRetryBudget:
     """Counts one service's requests and retries at this box in a sliding window (monotonic seconds).
 
-    What a previous process of the box spent is unknown, so slack grows from zero during the first window.
-    The budget may be exceeded where boxes underestimate their number: briefly while they start together,
-    while some cannot write their rows, and when a forgotten box returns within one window.
+    What the box's previous process spent is unknown, so slack grows from zero during the first window.
+    Boxes that underestimate their number may exceed the budget: while they start together, while some
+    cannot write their rows, or when a removed box returns within one window.
     """
 
     allowance: RetryAllowance
--- a/stairquay/core/call.py
+++ b/stairquay/core/call.py
@@ -58,8 +58,8 @@
 class Dispatch:
     """Parameters sent to the chosen endpoint along with a request.
 
-    endpoint: the id that must answer. time_left_s: time limit for the work. context_scope: scope of kept
-    context. version: the weights to run. fetch_from, save_to: an address for each part of the prompt, or
+    endpoint: the id that must answer. time_left_s: time limit for the work. context_scope: scope of cached
+    context. version: of the weights to run. fetch_from, save_to: an address for each part of the prompt, or
     empty. fetch_until_ms: deadline of fetches, by the endpoints' clock.
     """
 
@@ -77,7 +77,7 @@
 
 
 def request_digest(call: Call, body: bytes) -> str:
-    """Return a digest of a request's method, host, target, caller and body, equal for repeats of the request.
+    """Return a digest of a request's method, host, target, API key and body, equal for its repeats.
 
     The id and the headers are left out, since clients change them on every retry.
     """
--- a/stairquay/core/crashes.py
+++ b/stairquay/core/crashes.py
@@ -1,4 +1,4 @@
-"""Finds the requests that crash endpoints, from the crashes of all boxes."""
+"""Finds the requests that crash endpoints, from the crashes that all boxes report."""
 
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass
@@ -53,12 +53,11 @@
 
 
 def find_quarantined(crashes: Iterable[Crash], now: float) -> dict[str, QuarantinedRequest]:
-    """Return by digest the requests under which at least MIN_CRASHES endpoints crashed, excluding those that
-    only ran beside one of them.
+    """Return by digest the requests that probably crashed at least MIN_CRASHES endpoints.
 
     Each crash has one cause but many concurrent requests. The request with the most unexplained crashes is
-    taken first and explains all of them, until fewer than MIN_UNEXPLAINED_CRASHES remain. Ties go to the
-    request with the shortest mean run, since the others had mostly started before it.
+    taken first and explains all of its crashes, until none has MIN_UNEXPLAINED_CRASHES left. Ties go to the
+    shortest mean run, since the other requests had mostly started earlier.
     """
     known = _by_digest(crashes, now)
     started = {
--- a/stairquay/core/errors.py
+++ b/stairquay/core/errors.py
@@ -13,7 +13,7 @@
 
 
 class ErrorKind(str, Enum):
-    """Reasons for refusing a request."""
+    """Reasons for which a request fails."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
--- a/stairquay/core/fleet.py
+++ b/stairquay/core/fleet.py
@@ -1,18 +1,17 @@
 """Endpoints listed by the platform, and which of them may get new work.
 
-An incarnation that leaves stays marked as leaving, whether its entry or its answers said so, even if its
-entry lapses and returns. A restarted endpoint is a new incarnation, identified by its start time.
+A leaving incarnation, identified by its start time, stays marked if its entry is removed and returns.
 
-An endpoint that vanished from the list without notice may have lost its entry in an outage of the table
-service, so it is still used for a short time if no other endpoint is left.
+An endpoint may be missing from the list because of an outage of the table service, so it is still used for
+a short time if no other is left.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
 MISSING_GRACE_S = 1.6
-"""Seconds for which a missing endpoint may still be used. Must stay below two seconds, by which new work to
-an endpoint that is gone must stop."""
+"""Seconds for which a missing endpoint may still be used. Must stay below two seconds, the limit
+for ending new work to an endpoint that is gone."""
 
 LEAVING_TTL_S = 600.0
 """Seconds for which a leaving mark is kept after the entry was removed."""
--- a/stairquay/core/freshness.py
+++ b/stairquay/core/freshness.py
@@ -21,7 +21,7 @@
     """Monotonic times of the last responses of the platform and of each peer.
 
     limit_s: age in seconds up to which a response counts
-    required_peers: peers whose responses stand in for the platform's
+    required_peers: number of peers whose responses suffice without the platform's
     loaded: whether a configuration has been received
     """
 
--- a/stairquay/core/limits.py
+++ b/stairquay/core/limits.py
@@ -46,7 +46,8 @@
     received.
 
     A report is newer only if its request was sent after the other's answer was received. If neither is,
-    the lower limit holds with its own times, so that concurrent answers do not end or prolong a limit.
+    the lower limit holds with its own times, so that concurrent answers do not end or prolong it; equal
+    limits get the later times.
     """
     if known is None or incoming.sent_at >= known.received_at:
         return incoming
--- a/stairquay/core/models.py
+++ b/stairquay/core/models.py
@@ -69,7 +69,7 @@
     weight: share in fair queueing
     rate_s: requests per second over the whole system
     services: ids of the services that it may call; empty for all
-    kept_secret: key of its block ids
+    kept_secret: secret from which the hash key of its block ids is derived
     """
 
     id: str
--- a/stairquay/core/pace.py
+++ b/stairquay/core/pace.py
@@ -1,8 +1,8 @@
 """Limits the rate at which boxes together send to an endpoint.
 
-An endpoint's rate is bounded while it is cold, or by the rate limit in its answers. A router that counts
-all that it places on the endpoint spends most of the bound. Standalone boxes split a small share among
-them and start at random times, so that they do not all send to an idle endpoint at once.
+An endpoint's rate is bounded while it is cold, or by the rate limit in its answers. Its router may use most
+of the bound. Standalone boxes, which choose without a router, split a small share and start at random
+times, to avoid bursts to an idle endpoint.
 """
 
 from dataclasses import dataclass
@@ -17,8 +17,8 @@
 class RateShares:
     """Shares of a rate bound, by who decides.
 
-    router: each router that believes that the endpoint is its own. standalone: all boxes together that
-    decide without a router. unrouted: all boxes together, for endpoints that no router places on. burst:
+    router: each router that believes that the endpoint is its own. standalone: all standalone boxes
+    together. unrouted: all boxes together, for endpoints that no router places on. burst:
     requests that a router may place at once on an idle endpoint.
     """
 
--- a/stairquay/core/placement.py
+++ b/stairquay/core/placement.py
@@ -1,7 +1,6 @@
 """Ranks engines for a prompt by the predicted time to the first token.
 
-Context cached by another engine or a store box is fetched over its link, which is much faster than reading
-the tokens again.
+Context cached by another engine or a store box is fetched over its link, which is much faster than prefill.
 """
 
 from collections.abc import Callable, Sequence
@@ -11,8 +10,8 @@
 from stairquay.core.call import Part
 
 PREFILL_TOKENS_PER_S = 112_000.0
-"""Prompt tokens that a fast engine reads per second. On slower engines all predictions are too short by about
-one factor, which keeps their order."""
+"""Prompt tokens that a fast engine prefills per second. On slower engines all predictions are too short by
+about the same factor, which keeps their order."""
 
 ATTENTION_PAIR_S = 0.154e-9
 """Seconds of attention for each pair of a new token and a token of the prompt."""
@@ -27,7 +26,7 @@
 """Seconds added for an engine that runs replaced weights."""
 
 RUN_DURATION_S = 2.5
-"""Typical seconds for which a long request holds its memory."""
+"""Typical seconds for which a long request holds its slot and memory."""
 
 MEMORY_FILL_PENALTY_S = 0.06
 """Seconds added for full memory, so that memory is balanced before it is exhausted."""
@@ -49,10 +48,10 @@
 class EngineView:
     """What is known of one engine now.
 
-    resident: tokens that it has of each part of the prompt, in order. waiting_tokens: prompt tokens queued
-    or being read. failing: share of recent requests that failed. outdated: it runs replaced weights.
-    preferred: the sender often sends there. used_tokens: memory in use, of total_tokens; both 0 if
-    unknown. slots: requests that it runs concurrently.
+    resident: tokens cached of each part of the prompt. waiting_tokens: prompt tokens queued or in prefill.
+    failing: share of recent requests that failed. outdated: it runs replaced weights. preferred: the sender
+    often sends there. used_tokens: memory in use, of total_tokens; both 0 if unknown. slots: requests that
+    it runs concurrently.
     """
 
     id: str
@@ -83,9 +82,10 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """The chosen engine. fetch_from: an address for each part, or empty.
+    """An engine for a prompt, and the predicted time to the first token.
 
-    reused, fetched and read are tokens; first_token_s is the predicted time to the first token.
+    fetch_from: an address for each part, or empty. reused: tokens cached by the engine. fetched: tokens to
+    fetch. read: tokens to prefill.
     """
 
     engine: EngineView
@@ -107,7 +107,7 @@
     source_of: SourceLookup,
     bytes_per_token: int,
 ) -> list[Placement]:
-    """Return a placement on every engine, the quickest first."""
+    """Return a placement on every engine, the shortest time to the first token first."""
     placements = [_place_on(engine, parts, tokens, source_of, bytes_per_token) for engine in engines]
     return sorted(placements, key=lambda placement: placement.first_token_s)
 
@@ -118,7 +118,7 @@
 
 
 def prefill_s(read: int, tokens: int) -> float:
-    """Return the seconds that an engine needs to read some of a prompt's tokens."""
+    """Return the seconds that an engine needs to prefill `read` tokens of a prompt of `tokens`."""
     return read / PREFILL_TOKENS_PER_S + read * tokens * ATTENTION_PAIR_S
 
 
--- a/stairquay/core/residency.py
+++ b/stairquay/core/residency.py
@@ -1,6 +1,6 @@
 """Estimates of which prompt blocks are cached in engines and store boxes.
 
-An error costs time only: engines and store boxes check what they hold.
+An error costs time only: engines verify imported blocks by checksum.
 """
 
 from collections import OrderedDict
--- a/stairquay/core/rest.py
+++ b/stairquay/core/rest.py
@@ -1,4 +1,4 @@
-"""Backoff that endpoints ask for with Retry-After when they turn a request away."""
+"""Backoff that endpoints ask for with Retry-After when they refuse a request."""
 
 from dataclasses import dataclass
 from datetime import UTC, datetime
@@ -7,7 +7,7 @@
 from stairquay.core.limits import parse_decimal
 
 MAX_BACKOFF_S = 3_600.0
-"""Maximum backoff in seconds; longer ones are cut to it."""
+"""Maximum backoff in seconds; longer ones are capped."""
 
 PROBE_INTERVAL_S = 0.5
 """Seconds between requests to an endpoint after its backoff, until one of them is answered."""
@@ -17,7 +17,7 @@
 class Backoff:
     """A backoff that an endpoint asked for; times are monotonic seconds.
 
-    probed_at: when a request was last sent there since, or None.
+    probed_at: when a request was last sent after `until`, or None.
     """
 
     until: float
@@ -26,7 +26,7 @@
     def wait_s(self, now: float) -> float:
         """Return the seconds until the endpoint may get a request, or 0.
 
-        After the backoff a single request probes the endpoint; the others wait for its answer.
+        After the backoff, requests probe the endpoint one at a time, PROBE_INTERVAL_S apart.
         """
         if now < self.until:
             return self.until - now
--- a/stairquay/core/retry.py
+++ b/stairquay/core/retry.py
@@ -6,7 +6,7 @@
 """Retries allowed per incoming request, in the long run."""
 
 BUDGET_MINIMUM = 5.0
-"""Initial budget."""
+"""Initial budget in retries; the maximum is ten times this."""
 
 BACKOFF_BASE_S = 0.02
 BACKOFF_CAP_S = 1.0
--- a/stairquay/core/rollout.py
+++ b/stairquay/core/rollout.py
@@ -27,8 +27,8 @@
 class EngineState:
     """What is known of one engine's weights.
 
-    sequence: number of orders that it has accepted, or None if unknown. replaced_s: seconds since its
-    weights were replaced by a newer version.
+    busy: it is loading weights. running: requests in progress. sequence: number of orders that it has
+    accepted, or None if unknown. replaced_s: seconds since its weights were replaced by a newer version.
     """
 
     id: str
@@ -74,11 +74,11 @@
     now: float,
     within_s: float = float("inf"),
 ) -> list[Order]:
-    """Return the orders to send now, engines with the oldest weights first, then the least busy.
+    """Return the orders to send now: oldest weights first, then fewest running requests.
 
-    An engine whose sequence number is unknown gets none, since a late order could not be told from a newer
-    one. Loading engines count towards the limit; engines that did not answer do not, since they may never
-    load. issued: orders already sent, by engine and version. within_s: time limit of the rollout.
+    Engines with an unknown sequence number get none, since they could not reject an outdated order. Engines
+    with unanswered orders do not count as loading, since they may never load. issued: orders sent, by engine
+    and version. within_s: time limit of the rollout.
     """
     known = list(engines)
     pending = {
--- a/stairquay/core/routers.py
+++ b/stairquay/core/routers.py
@@ -1,8 +1,8 @@
 """Selects the boxes that route prompts for all, the engines of each router, and the routers that a box asks.
 
-If every box chose by itself from reports that are out of date, all would send to the same engine. So each
-engine has one router, which counts what it sends there, and each box asks a router, in its own data hall
-if there is one. Boxes that disagree on the routers lose time but stay correct.
+Boxes choosing engines by themselves, from outdated reports, would all choose the same one. So each engine has
+one router, which counts what it sends there. Boxes ask a router, in their data hall if possible. Disagreement
+costs time only.
 """
 
 from collections.abc import Iterable, Sequence
@@ -85,8 +85,8 @@
 
 
 def engines_of(router: str, engines: Iterable[Engine], routers: Sequence[Member]) -> frozenset[str]:
-    """Return the engines that a router routes for: its share of those in its data hall and in halls without a
-    router."""
+    """Return the engines that a router routes for: its share of those in its data hall and in data halls
+    without a router."""
     halls = {item.data_hall for item in routers}
     names_by_hall: dict[str, list[str]] = {}
     for engine in engines:
