--- a/stairquay/core/crashes.py
+++ b/stairquay/core/crashes.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass
 
 MIN_CRASHES = 3
-"""Crashed endpoints required to quarantine a request. With two, a request that is retried beside the one that
-crashes endpoints would often be quarantined as well."""
+"""Crashed incarnations required to quarantine a request, weighted by UNSTARTED_WEIGHT. With two, a request
+that is retried beside the one that crashes endpoints would often be quarantined as well."""
 
 MIN_UNEXPLAINED_CRASHES = 2
-"""Of these, the crashes that no other quarantined request explains."""
+"""Minimum of these that no other quarantined request explains, weighted likewise."""
 
 UNSTARTED_WEIGHT = 0.5
 """Weight of a crash for a request that the engine had not begun to answer while it answered others: it was
@@ -53,7 +53,7 @@
 
 
 def find_quarantined(crashes: Iterable[Crash], now: float) -> dict[str, QuarantinedRequest]:
-    """Return by digest the requests that probably crashed at least MIN_CRASHES endpoints.
+    """Return by digest the requests that probably crashed at least MIN_CRASHES incarnations.
 
     Each crash has one cause but many concurrent requests. The request with the most unexplained crashes is
     taken first and explains all of its crashes, until none has MIN_UNEXPLAINED_CRASHES left. Ties go to the
--- a/stairquay/core/identity.py
+++ b/stairquay/core/identity.py
@@ -10,7 +10,7 @@
 
 BLOCK_TOKENS = 256
 BYTES_PER_TOKEN = 4
-"""Estimate, used where no tokenizer is available."""
+"""Estimated average; prompts are not tokenized here."""
 
 DIGEST_BYTES = 16
 
