--- a/stairquay/serving/crash_rows.py
+++ b/stairquay/serving/crash_rows.py
@@ -50,7 +50,7 @@
 
 
 class CrashRowSync:
-    """Writes this box's row, and follows all rows while no router forwards them.
+    """Writes this box's row, and follows all rows as a follower or while no router forwards them.
 
     revision: of this box's row, 0 if there is none.
     """
--- a/stairquay/serving/dispatch.py
+++ b/stairquay/serving/dispatch.py
@@ -109,7 +109,7 @@
         return None
 
     def _with_retry_after(self, job: Job, refusal: Refusal) -> Refusal:
-        """Return the refusal, with Retry-After set if all endpoints asked for back-off."""
+        """Return the refusal, with Retry-After set if all endpoints asked for a backoff."""
         backoff_s = None if refusal.kind == ErrorKind.OVERLOADED else self.chooser.retry_after_backoff_s(job)
         return refusal if backoff_s is None else replace(refusal, retry_after_s=max(RETRY_AFTER_S, backoff_s))
 
--- a/stairquay/serving/endpoint.py
+++ b/stairquay/serving/endpoint.py
@@ -39,25 +39,23 @@
 
 @dataclass
 class EndpointState:
-    """State of one incarnation of an endpoint; times are monotonic seconds.
-
-    born: as for Endpoint. known_since: when this box learned of this incarnation, NEVER for the first one it
-    knew. unreachable_at: when it was last unreachable and may have restarted unnoticed, NEVER after a report.
-    router_pacer, standalone_pacer: used under a rate limit, as the endpoint's router and where this box
-    decides alone. limit: the last one reported, None before any. backoff: what it last asked this box for,
-    None if it is over. unreadable_by_topic: the last unreadable text of each. prefill_until: when the engine
-    will have read all that this box, as its router, placed there.
-    """
+    """State of one incarnation of an endpoint; times are monotonic seconds. born: as for Endpoint."""
 
     born: int = 0
+    # When this box learned of this incarnation, NEVER for the first one it knew.
     known_since: float = NEVER
     cold_until: float = NEVER
+    # When it was last unreachable and may have restarted unnoticed, NEVER once a report tells its start.
     unreachable_at: float = NEVER
+    # Used under a rate limit if this box is the endpoint's router.
     router_pacer: Pacer | None = None
+    # Used under a rate limit if this box chooses endpoints by itself.
     standalone_pacer: Pacer | None = None
     limit: LimitReport | None = None
     limit_ended_at: float = NEVER
+    # Kept after its time until an answer without a backoff ends it.
     backoff: Backoff | None = None
+    # The last unreadable feedback, to log each text once.
     unreadable_by_topic: dict[Topic, str] = field(default_factory=dict)
 
     in_flight: int = 0
@@ -70,6 +68,7 @@
     failure_rate: float = 0.0
     failure_rate_at: float = NEVER
     response_time_s: float = 0.05
+    # When the engine will have prefilled all that this box, as its router, placed there.
     prefill_until: float = NEVER
 
     def on_report(self, report: EngineReport, now: float) -> None:
@@ -86,7 +85,7 @@
         self.prefill_until = max(self.prefill_until, now) + prefill_s
 
     def revert_placed(self, prefill_s: float, tokens: int, sent_at: float) -> None:
-        """Undo on_placed and on_sent for a prompt that the engine never read."""
+        """Undo on_placed and on_sent for a prompt that the engine never prefilled."""
         self.prefill_until -= prefill_s
         with suppress(ValueError):
             # It may have been removed already, by a report or by its age.
@@ -117,7 +116,7 @@
         return float(self.failure_rate * 0.5 ** ((now - self.failure_rate_at) / FAILURE_HALF_LIFE_S))
 
     def has_active_limits(self, now: float) -> bool:
-        """Tell whether a rate limit or back-off still applies to this box."""
+        """Tell whether a rate limit was reported recently, or a backoff still applies to this box."""
         limited = self.limit is not None and now - self.limit.received_at < LIMIT_TTL_S
         return limited or (self.backoff is not None and self.backoff.wait_s(now) > 0)
 
--- a/stairquay/serving/following.py
+++ b/stairquay/serving/following.py
@@ -39,7 +39,7 @@
 OPERATORS_SNAPSHOT_INTERVAL_S = 8.0
 
 LIST_PAUSE_S = 0.6
-"""Pause between reads of the list. Requests to a leaving endpoint must stop within two seconds."""
+"""Pause between calls for the list. No new work may go to a leaving endpoint after `BoxSettings.drain_s`."""
 
 ROUTER_LIST_PAUSE_S = 0.2
 
--- a/stairquay/serving/messages.py
+++ b/stairquay/serving/messages.py
@@ -36,10 +36,8 @@
 class PlaceRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks where a prompt should run.
 
-    ticket: id of the attempt. box: the sender, which will also send the prompt. wall: the workspace, where
-    it shares no cached prompts with others, else empty. tried: endpoints to exclude. most_backlog_s: longest
-    wait for an engine that the sender accepts, None for any. may_wait: the sender can ask again later. said:
-    back-offs that the sender has to observe, and feedback that the router has shown not to know.
+    ticket: id of the attempt. box: the sender, which will also send the prompt. tried: endpoints to exclude.
+    may_wait: the sender can ask again later.
     """
 
     ticket: str
@@ -49,20 +47,19 @@
     parts: tuple[PromptPart, ...]
     tokens: int
     max_output: int
+    # The workspace if it shares no cached context with others, else empty.
     wall: str
     tried: tuple[str, ...]
+    # Longest wait for an engine that the sender accepts, None for any.
     most_backlog_s: float | None = None
     may_wait: bool = False
+    # Backoffs that the sender has to observe, and feedback that the router has shown not to know.
     said: tuple[PeerFeedback, ...] = ()
 
 
 class PlaceReply(msgspec.Struct, frozen=True, array_like=True):
     """Where a prompt should run; `endpoint` is empty where no endpoint can take it.
 
-    again_s: seconds after which the sender should ask again, 0 where this reply is final. said: the limit of
-    the endpoint that the router applies, None for none. come_back_s: where all endpoints are at their limits
-    or back off, the seconds until one accepts this prompt; else 0.
-
     The other fields are those of serving.endpoint_choice.Choice and core.placement.Placement.
     """
 
@@ -78,8 +75,11 @@
     first_token_s: float = 0.0
     alternative_s: float | None = None
     backlog_s: float = 0.0
+    # Seconds after which the sender should ask again, 0 if this reply is final.
     again_s: float = 0.0
+    # The endpoint's rate limit that the router applies, None for none.
     said: PeerFeedback | None = None
+    # Seconds until an endpoint accepts this prompt if all are at their limits or asked for a backoff, else 0.
     come_back_s: float = 0.0
 
 
@@ -110,7 +110,7 @@
 
 
 class FinishedNotice(msgspec.Struct, frozen=True, array_like=True):
-    """Attempts that have ended, and tickets of those with a finished prefill (`read`); empty for a ping.
+    """Attempts that have ended, and tickets of those whose prefill has finished (`read`); empty for a ping.
 
     said: feedback of endpoints.
     """
--- a/stairquay/serving/orders.py
+++ b/stairquay/serving/orders.py
@@ -1,8 +1,7 @@
 """Rolls out new target versions to engines, by one box at a time, under a lease in the table service.
 
-The lease is short and written before orders are sent, so that another box can take over soon after the last
-write. The holder stops when the lease expires by its own clock; another box waits for that and for the
-handover time of the endpoints. Nothing is written while all engines run their target versions.
+The lease is written before orders are sent, and its holder stops when it expires by its own clock. Another
+box waits for that and for the handover time. Nothing is written while all engines run their target versions.
 """
 
 import asyncio
@@ -63,8 +62,8 @@
                 self._issue(orders)
 
     async def _refresh_reports(self, engines: list[EngineState]) -> None:
-        """Fetch the reports of loading engines, which the next ones wait for, and stale reports of outdated
-        engines, which reject an order with an old sequence number."""
+        """Fetch the reports of loading engines, which the next ones wait for, and of outdated engines with a
+        stale report, since they reject an order with an old sequence number."""
         loading = [engine.id for engine in engines if engine.busy]
         stale = [name for name in self._outdated_ids(engines) if self._report_age_s(name) > MAX_REPORT_AGE_S]
         endpoints = [self.state.fleet.by_id.get(name) for name in dict.fromkeys(loading + stale)]
--- a/stairquay/serving/pacing.py
+++ b/stairquay/serving/pacing.py
@@ -85,11 +85,11 @@
     now: float,
     random: Random,
 ) -> float | None:
-    """Return the seconds after which a refused caller should retry, None if no endpoint is paced or in
-    back-off.
+    """Return the seconds after which a refused caller should retry, None if no endpoint is paced or
+    asked for a backoff.
 
     tried: ids of endpoints that the request was sent to already. backoffs_s: by endpoint id, the seconds of
-    back-off left. Callers that are refused together get staggered times, at the rate that endpoints accept.
+    backoff left. Callers that are refused together get staggered times, at the rate that endpoints accept.
     """
     usable = [
         item for item in state.fleet.usable(service, now) if takes_work(state, item) and item.id not in tried
--- a/stairquay/serving/ports.py
+++ b/stairquay/serving/ports.py
@@ -1,4 +1,4 @@
-"""Ports of the one-process program: the interfaces that adapters of a platform implement."""
+"""Ports of the box process: the interfaces that adapters of a platform implement."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field
@@ -33,19 +33,20 @@
 class OperatorChanges:
     """Changes of the operators' configuration, or a snapshot of it (`whole`).
 
-    catalog: None where it did not change, or is invalid (`unreadable` says why). versions_by_model: new
-    target versions. evacuated: data halls whose endpoints must get no requests, all of them in a snapshot;
-    returned: data halls whose evacuation has ended. behind_s: seconds by which this is older than the request
-    for it, where a router forwarded it.
+    catalog: None if it did not change, or is invalid (`unreadable` says why).
     """
 
     revision: int
     whole: bool
     catalog: Catalog | None = None
     unreadable: str = ""
+    # New target versions.
     versions_by_model: dict[str, int] = field(default_factory=dict)
+    # Seconds by which this is older than the request for it, if a router forwarded it.
     behind_s: float = 0.0
+    # Data halls whose endpoints must get no requests, all of them in a snapshot.
     evacuated: tuple[str, ...] = ()
+    # Data halls whose evacuation has ended.
     returned: tuple[str, ...] = ()
 
 
@@ -93,7 +94,7 @@
         """Write all rows if all conditions hold."""
 
     def clock_offset(self) -> ClockOffset | None:
-        """Return the table service's steady clock less ours, None before it was heard."""
+        """Return the offset of the table service's monotonic clock to the local one, None if unknown."""
 
 
 class CrashTable(Protocol):
@@ -109,7 +110,7 @@
         """Write all rows if all conditions hold."""
 
     def clock_offset(self) -> ClockOffset | None:
-        """Return the table service's steady clock less ours, None before it was heard."""
+        """Return the offset of the table service's monotonic clock to the local one, None if unknown."""
 
 
 @dataclass(frozen=True)
@@ -289,7 +290,7 @@
 
 @dataclass(frozen=True)
 class Ports:
-    """All ports of the one-process program."""
+    """All ports of the box process."""
 
     feeds: Feeds
     own: OwnTable
--- a/stairquay/serving/quarantine.py
+++ b/stairquay/serving/quarantine.py
@@ -57,25 +57,29 @@
 class Quarantine:
     """Crashes known to this box, and the requests that it quarantines for them.
 
-    own_crashes: by request digest and endpoint incarnation. cleared, served_at: when this box cleared a
-    request, and last served it. reports_by_key: reports in boxes' rows, while this box follows them;
-    rows_revision: of the view of them, -1 for none. router_report: latest report from a router, kept until
-    the rows are read; router_revision: its `rows_changed_revision`. unpublished: this box's row is out of
-    date. Times are in monotonic seconds.
+    Times are in monotonic seconds.
     """
 
     def __init__(self, log: EventLog) -> None:
         self.log = log
+        # By request digest and endpoint incarnation.
         self.own_crashes: dict[tuple[str, str], Crash] = {}
+        # When this box cleared a request of suspicion, by digest.
         self.cleared: dict[str, float] = {}
+        # Reports in the rows of all boxes, empty while this box does not follow them.
         self.reports_by_key: dict[str, CrashReport] = {}
+        # Revision of the view of the rows, and of its last change; -1 for none.
         self.rows_revision = -1
         self.rows_changed_revision = -1
         self.rows_asked_at = NEVER
+        # Latest report from a router, kept until the rows are read.
         self.router_report = CrashReport()
         self.router_reporting = False
+        # `rows_changed_revision` of the router that reported.
         self.router_revision = -1
+        # When this box last served a request, by digest.
         self.served_at: OrderedDict[str, float] = OrderedDict()
+        # Whether this box's row is out of date.
         self.unpublished = False
         self.changed = ChangeNotifier()
         self.quarantined_by_digest: dict[str, QuarantinedRequest] = {}
--- a/stairquay/serving/settings.py
+++ b/stairquay/serving/settings.py
@@ -31,30 +31,32 @@
 
 @dataclass(frozen=True)
 class BoxSettings:
-    """Settings of one box. Addresses are `IP:port`; `_s` fields are seconds.
-
-    front: listen address for callers. readiness: listen address for the load balancer's checks. metrics_port:
-    0 for none. peer_address: address for other boxes, empty if they cannot reach this one. stop_s: time from
-    the stop signal until the process is killed. memory_mb: 0 for no limit.
-
-    Deadlines: apply_s for applying a written configuration; evacuate_s and drain_s for sending no new work to
-    an evacuated data hall and to a leaving endpoint; versions_within_s for rolling out a version of weights.
-    """
+    """Settings of one box. Addresses are `IP:port`; `_s` fields are seconds."""
 
     id: str
     ip: str
     data_hall: str
+    # Listen address for callers.
     front: str
+    # Listen address for the load balancer's checks.
     readiness: str
+    # 0 for none.
     metrics_port: int = 0
+    # Address for other boxes, empty if they cannot reach this one.
     peer_address: str = ""
     cores: float = 1.0
     link_mbps: float = 1_000.0
+    # Time from the stop signal until the process is killed.
     stop_s: float = 8.0
+    # Deadline for sending no new work to a leaving endpoint.
     drain_s: float = 2.0
+    # Deadline for applying a written configuration.
     apply_s: float = 2.0
+    # Deadline for sending no new work to an evacuated data hall.
     evacuate_s: float = 5.0
+    # Deadline for rolling out a target version.
     versions_within_s: float = 12.0
+    # 0 for no limit.
     memory_mb: int = 0
     max_descriptors: int = 1024
     freshness: FreshnessSettings = field(default_factory=FreshnessSettings)
--- a/stairquay/serving/sharing.py
+++ b/stairquay/serving/sharing.py
@@ -61,7 +61,7 @@
         self.operators_from_router = False
 
     async def read_operators(self) -> Result[OperatorChanges, FeedFault]:
-        """Read the configuration and the named versions."""
+        """Read the configuration and the target versions."""
         timeout_s = self._timeout_s()
         request = self._operators_request(self.state.operators_revision, 0.0)
         reply = await self._request(lambda link: link.operators(request, timeout_s), "operators' rows")
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -37,69 +37,69 @@
 
 @dataclass
 class BoxState:
-    """State shared by all parts of a box; they run on one event loop, so nothing is locked.
-
-    view_asked_at, list_asked_at: when the newest configuration and endpoint list were requested.
-    list_unreachable_at: when the table service last gave no answer about the list. list_from_router: a router
-    forwarded the newest list. operators_revision, list_revision: the revision up to which a view is complete;
-    operators_changed_revision, list_changed_revision: that of its last change.
-
-    target_version_by_model: as in the configuration; target_versions_at_start: as in this box's first view.
-    version_history_known: other boxes' rows were read. last_view_before_start: when any box last requested a
-    view before this one started.
-
-    boxes: ids of boxes believed alive. routers: boxes that route prompts for all. routed_engines: ids of
-    engines that this box routes for. suspected_until_by_id: routers that recently did not answer.
-
-    retry_at_by_service: latest retry time given to a refused caller. limited: ids of endpoints that have
-    reported a rate limit, including ended ones. backing_off: ids of endpoints that asked this box to back
-    off.
-
-    evacuated: data halls without new work, known up to evacuated_revision. unreadable: ids of malformed list
-    entries. clock_offset_ms: the endpoints' clock minus this one's. refusing: new requests are refused.
-    changed: notified when views, routers or their suspicion change, when routers start or stop reporting
-    crashes, and on stop.
-    """
+    """State shared by all parts of a box; they run on one event loop, so nothing is locked."""
 
     settings: BoxSettings
     log: EventLog
     metrics: BoxMetrics = field(default_factory=BoxMetrics)
     catalog: Catalog | None = None
+    # When the newest configuration was requested.
     view_asked_at: float = NEVER
     fleet: Fleet = field(default_factory=Fleet)
     fleet_known: bool = False
+    # When any box last requested a view before this one started.
     last_view_before_start: float = NEVER
+    # Target versions in this box's first view.
     target_versions_at_start: dict[str, int] = field(default_factory=dict)
+    # Whether other boxes' rows, which tell when versions became the target, were read.
     version_history_known: bool = False
+    # Newest target versions that this box has seen.
     target_version_by_model: dict[str, int] = field(default_factory=dict)
     version_history_by_model: dict[str, VersionHistory] = field(default_factory=dict)
     endpoints_by_id: dict[str, EndpointState] = field(default_factory=dict)
     holdings: Holdings = field(default_factory=Holdings)
     retry_budgets_by_service: dict[str, WindowedRetryBudget] = field(default_factory=dict)
+    # Ids of boxes believed alive.
     boxes: tuple[str, ...] = ()
     boxes_known_at: float = NEVER
+    # Revision up to which the view of the configuration is complete, and that of its last change.
     operators_revision: int = 0
     operators_changed_revision: int = 0
+    # When the newest list of endpoints was requested.
     list_asked_at: float = NEVER
+    # When the table service last gave no answer about the list.
     list_unreachable_at: float = NEVER
+    # Whether a router forwarded the newest list.
     list_from_router: bool = False
+    # Revision up to which the list is complete, and that of its last change.
     list_revision: int = 0
     list_changed_revision: int = 0
+    # Boxes that route prompts for all boxes.
     routers: tuple[Member, ...] = ()
+    # Ids of engines that this box routes for.
     routed_engines: frozenset[str] = frozenset()
+    # Latest retry time given to a refused caller.
     retry_at_by_service: dict[str, float] = field(default_factory=dict)
+    # Routers that recently did not answer.
     suspected_until_by_id: dict[str, float] = field(default_factory=dict)
+    # Ids of endpoints that have reported a rate limit, also if it has ended.
     limited: set[str] = field(default_factory=set)
+    # Ids of endpoints that asked this box to back off.
     backing_off: set[str] = field(default_factory=set)
+    # Data halls that get no new work, as of a revision of the configuration.
     evacuated: frozenset[str] = frozenset()
     evacuated_revision: int = 0
     evacuation_ended_at_by_hall: dict[str, float] = field(default_factory=dict)
+    # Ids of malformed list entries.
     unreadable: set[str] = field(default_factory=set)
+    # The endpoints' clock minus this box's.
     clock_offset_ms: float | None = None
     in_flight: int = 0
     body_bytes: int = 0
     stopping: bool = False
     refusing: bool = False
+    # Notified when views, routers or their suspicion change, an endpoint is marked as leaving, routers start
+    # or stop reporting crashes, and on stop.
     changed: ChangeNotifier = field(default_factory=ChangeNotifier)
     quarantine: Quarantine = field(init=False)
 
--- a/stairquay/serving/telling.py
+++ b/stairquay/serving/telling.py
@@ -73,7 +73,7 @@
 
 
 def _limited_ids(state: BoxState, now: float, include_ids: frozenset[str]) -> set[str]:
-    """Return the ids of endpoints that have a rate limit, or had one until recently."""
+    """Return the ids of endpoints with a rate limit now or recently, or ever if in `include_ids`."""
     endpoint_ids = set()
     for endpoint_id in state.limited & state.fleet.by_id.keys():
         endpoint_state = state.endpoints_by_id.get(endpoint_id)
@@ -89,7 +89,7 @@
 
 
 def _leaving_ids(state: BoxState, now: float, include_ids: frozenset[str]) -> set[str]:
-    """Return the ids of endpoints that were recently marked as leaving."""
+    """Return the ids of endpoints that were marked as leaving recently, or ever if in `include_ids`."""
     by_id = state.fleet.leaving_by_id
     return {
         endpoint_id
--- a/stairquay/serving/watching.py
+++ b/stairquay/serving/watching.py
@@ -17,7 +17,7 @@
 
 OTHER_REPORT_INTERVAL_S = 2.0
 """Time between reports of engines that other routers place on. Orders need their sequence numbers, and this
-router may have to take them over."""
+router may have to take over these engines."""
 
 EVENTS_LONG_POLL_S = 0.8
 
