--- a/stairquay/serving/notices.py
+++ b/stairquay/serving/notices.py
@@ -109,7 +109,7 @@
                 self.prefilled_by_router.pop(router, None)
 
     def _queue_pings(self) -> None:
-        """Queue a notice, which may be empty, for every other router."""
+        """Queue a notice, which may be empty, for every other live router."""
         for router in self.state.live_routers():
             if router.id != self.state.settings.id:
                 self.ended_by_router.setdefault(router, [])
