--- a/stairquay/serving/links.py
+++ b/stairquay/serving/links.py
@@ -189,7 +189,7 @@
         # The caller records it and asks another router.
         return None
     except asyncio.CancelledError:
-        # gRPC cancels pending calls when their channel is closed; only a cancellation of this task is re-raised.
+        # gRPC also cancels pending calls when their channel is closed; that counts as no reply.
         if being_cancelled():
             raise
         return None
