--- a/stairquay/serving/endpoint_choice.py
+++ b/stairquay/serving/endpoint_choice.py
@@ -39,8 +39,8 @@
 
     alternative_s: predicted time to first token of the second best. backlog_s: shortest wait at any
     candidate. fetch_until_ms: by the endpoints' clock. save_to: the store box address for each part of the
-    prompt. router: the box that decided, empty for this one. ticket: as in PlaceRequest. again_s: ask again
-    after this many seconds.
+    prompt. router: id of the router that decided, empty if the box chose by itself. ticket: as in
+    PlaceRequest. again_s: as in PlaceReply.
     """
 
     endpoint: Endpoint
--- a/stairquay/serving/state.py
+++ b/stairquay/serving/state.py
@@ -231,7 +231,7 @@
     ) -> EndpointState:
         """Return the new state of a restarted endpoint; requests in flight keep counting in the old one.
 
-        The first start time heard of belongs to the known incarnation.
+        The first start time that this box learns belongs to the known incarnation.
         """
         if not endpoint_state.born:
             endpoint_state.born = born
