--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: load driver, costs, demonstration. Nothing here is part of the product."""
+"""Benchmarks, cost measurements and the demonstration; not part of the product."""
--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,7 +1,7 @@
-"""Copies of the source tree with one mechanism of the decisions switched off, to measure what it is worth.
+"""Writes a copy of the source tree with one mechanism disabled, for ablation studies.
 
-`python -m bench.ablation` lists the mechanisms; `python -m bench.ablation NAME FOLDER` writes the copy. A
-switch that no longer fits the code is an error, so that the list cannot grow stale unseen.
+`python -m bench.ablation` lists the mechanisms; `python -m bench.ablation NAME FOLDER` writes the copy.
+A switch whose text is not in the code exactly once is an error.
 """
 
 import shutil
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Switch:
-    """Replacing `before` by `after` in `file` takes a mechanism away; `what` says which."""
+    """Replacing `before` by `after` in `file` disables the mechanism that `what` describes."""
 
     what: str
     file: str
@@ -30,13 +30,13 @@
 
 SWITCHES: dict[str, Switch] = {
     "waiting": Switch(
-        "waiting for parts that are being read",
+        "waiting for prompt parts that are in prefill",
         SERVING + "endpoint_chooser.py",
         "MAX_PREFILL_WAIT_SHARE = 0.35",
         "MAX_PREFILL_WAIT_SHARE = 0.0",
     ),
     "shedding": Switch(
-        "refusing the least urgent when engines are behind",
+        "refusing the requests of lowest priority when engines have a backlog",
         SERVING + "dispatch.py",
         "SHED_BACKLOG_SHARE = 0.1",
         "SHED_BACKLOG_SHARE = 1e9",
@@ -48,12 +48,12 @@
         "MEMORY_FILL_PENALTY_S = 0.0",
     ),
     "room": Switch(
-        "predicting the wait for room in memory",
+        "predicting the wait for free memory",
         PLACEMENT,
         "    excess = engine.used_tokens + tokens - engine.total_tokens * USABLE_MEMORY_SHARE",
         "    excess = 0.0",
     ),
-    "runs": Switch("counting runs under way", PLACEMENT, "STEP_DELAY_S = 0.0005", "STEP_DELAY_S = 0.0"),
+    "runs": Switch("counting running requests", PLACEMENT, "STEP_DELAY_S = 0.0005", "STEP_DELAY_S = 0.0"),
     "failing": Switch(
         "avoiding engines that fail requests", PLACEMENT, "FAILURE_PENALTY_S = 0.5", "FAILURE_PENALTY_S = 0.0"
     ),
@@ -70,10 +70,13 @@
         "OTHER_HALL_PENALTY_S = 0.0",
     ),
     "old_version": Switch(
-        "avoiding replaced weights", PLACEMENT, "OLD_VERSION_PENALTY_S = 0.12", "OLD_VERSION_PENALTY_S = 0.0"
+        "avoiding engines with an old version",
+        PLACEMENT,
+        "OLD_VERSION_PENALTY_S = 0.12",
+        "OLD_VERSION_PENALTY_S = 0.0",
     ),
     "queue": Switch(
-        "counting what an engine has yet to read",
+        "counting the tokens that wait for prefill",
         PLACEMENT,
         "return engine.waiting_tokens / PREFILL_TOKENS_PER_S",
         "return 0.0",
@@ -97,13 +100,13 @@
         "    for store in fresh_stores(state, catalog)[:0]:",
     ),
     "spare_fetch": Switch(
-        "naming a source for parts that the engine keeps itself",
+        "naming a source for parts in the engine's own cache",
         PLACEMENT,
         'source.address if source is not None and source.tokens >= part.tokens else ""',
         '""',
     ),
     "second_router": Switch(
-        "asking a second router where the first is behind",
+        "asking a second router when the first has a backlog",
         SERVING + "endpoint_chooser.py",
         "ROUTERS_ASKED = 2",
         "ROUTERS_ASKED = 1",
@@ -130,7 +133,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """List the switches, or write the copy that was asked for."""
+    """List the switches, or write the requested copy."""
     if not arguments:
         for name, switch in SWITCHES.items():
             print(f"{name:14} {switch.what}")
@@ -144,7 +147,7 @@
 def _write_copy(switch: Switch, folder: Path) -> int:
     source = (ROOT / switch.file).read_text()
     if source.count(switch.before) != 1:
-        print(f"{switch.file} does not have this once: {switch.before}", file=sys.stderr)
+        print(f"{switch.file} does not contain this exactly once: {switch.before}", file=sys.stderr)
         return 1
     shutil.copytree(ROOT, folder, ignore=IGNORED_FILES)
     (folder / switch.file).write_text(source.replace(switch.before, switch.after))
--- a/bench/binary.py
+++ b/bench/binary.py
@@ -1,4 +1,4 @@
-"""Builds the one binary: a zip application that needs a python3 and nothing else. `make binary`."""
+"""Builds the executable, a zip application that needs only python3: `make binary`."""
 
 import subprocess
 import sys
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Works out what each role costs at the target's size, from the slopes that `make bench-cost` measured.
+"""Estimates the load of each role at the target size from the results of `make bench-cost`.
 
 Prints the tables of docs/CAPACITY.md: `.venv/bin/python -m bench.capacity`.
 """
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """The users' figures, and what is assumed besides (the last four)."""
+    """Size of the target installation; the last four fields are assumptions."""
 
     nodes: int = 330
     runners: int = 1_800
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One line: what, the value today's mechanism gives, its unit, and how it comes about."""
+    """One line of a table."""
 
     quantity: str
     value: float
@@ -39,7 +39,7 @@
 
 
 def data_path_rows(target: Target, cost: dict[str, Any]) -> list[Row]:
-    """Return the data path's load of one node."""
+    """Return the load of the data path on one node."""
     requests = target.requests_per_s / target.nodes
     tokens = target.tokens_per_s / target.nodes
     entry_ms = cost["requests"]["entry_ms_request"]["4000"]
@@ -55,7 +55,7 @@
 
 
 def router_state_rows(target: Target, cost: dict[str, Any]) -> list[Row]:
-    """Return the state of one router, as today (all of it) and by owner."""
+    """Return the memory of one router, with all blocks and with those of its own conversations."""
     memory = cost["memory"]
     conversations_per_router = target.conversations / target.nodes
     blocks = target.prompt_tokens / target.block_tokens
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,7 +1,6 @@
-"""What the system costs, as slopes: `make bench-cost` prints each figure with the sizes measured.
+"""Measures processor time, memory and traffic of the product's processes: `make bench-cost`.
 
-Processor time and memory are those of the product's own processes; bytes are counted by proxies
-between them. Slopes are least-squares fits over three sizes.
+Proxies between the processes count bytes. Slopes are least-squares fits over several sizes.
 """
 
 import asyncio
@@ -49,7 +48,7 @@
 
 
 def requests_and_tokens() -> dict[str, Any]:
-    """Processor time of entry and router for a request, by prompt size, and for a relayed token."""
+    """Measure the processor time of entry and router by request and by relayed token."""
     cluster = start(HSITA, Variant("cost", boxes=1), sys.executable)
     try:
         url = f"http://127.0.0.1:{cluster.boxes['box-1'].entry}"
@@ -92,7 +91,7 @@
 
 
 def bytes_per_item(factory: Callable[[int], Any], sizes: tuple[int, ...]) -> dict[str, Any]:
-    """Return bytes an item, from the growth of a fresh process's resident memory at three sizes."""
+    """Return the bytes per item, from the growth of a new process's resident memory."""
     points = []
     for size in sizes:
         points.append((size, growth_in_child(factory.__name__, size)))
@@ -140,7 +139,7 @@
 
 
 def decisions() -> dict[str, Any]:
-    """Processor time of hashing a prompt, and of one decision over so many endpoints."""
+    """Measure the processor time of hashing a prompt and of choosing among several endpoints."""
     rng = Random(3)
     measured: dict[str, Any] = {}
     for count in (5, 50, 500):
@@ -165,7 +164,7 @@
 
 
 def control_bytes() -> dict[str, Any]:
-    """Bytes a second that one box's router exchanges when idle, by what it talks to."""
+    """Measure the traffic, processor time and memory of an idle box by engines and workspaces."""
     measured: dict[str, Any] = {"engines": {}, "workspaces": {}, "idle_cpu_percent": {}}
     for engines, workspaces in ((2, 10), (4, 10), (8, 10), (4, 200), (4, 800)):
         figures = measure_idle_box(engines, workspaces)
@@ -246,7 +245,7 @@
 
 
 def claims() -> dict[str, Any]:
-    """Claims a second through a table that takes 100 writes a second, by claims in one write."""
+    """Measure claims per second by batch size, on a table limited to 100 writes per second."""
     from stairquay.adapters.platform import HttpPlatform
     from stairquay.entry.once import Claims
 
@@ -277,7 +276,7 @@
 
 
 def propagation() -> dict[str, Any]:
-    """Seconds from the confirmation of a change until it is in force everywhere, by boxes."""
+    """Measure the seconds from a change's confirmation until all boxes apply it, by number of boxes."""
     measured = {}
     for boxes in (2, 4, 6):
         overrides = {"view.poll_s": 1.0, "view.stale_s": 4.0}
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,7 +1,7 @@
-"""The demonstration: prompts that return after their engines' memory has dropped them.
+"""Demonstrates prompts that return after the engines' caches have evicted them: `make demo`.
 
-Starts the stand-ins and the programs as separate processes, sends long prompts, crowds them out of
-the engines' memory with others, sends them again, and prints what the callers saw.
+Starts the stand-ins and the programs as separate processes, sends long prompts, evicts them with
+others, sends them again, and prints what the callers saw.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 def main() -> None:
-    """Run the demonstration and stop all that it started."""
+    """Run the demonstration and stop its processes."""
     started = time.monotonic()
     print("starting a platform, 3 engines, 2 store boxes, and 2 boxes of entry, router and control ...")
     cluster = Cluster(python=sys.executable)
@@ -70,7 +70,7 @@
 
 
 async def measure_returning_prompts(cluster: Cluster) -> None:
-    """Send, crowd out, send again; print a table."""
+    """Send prompts, evict them, send them again, and print a table."""
     text_generator = TextGenerator()
     conversations = [text_generator.text(f"mine {number}", TOKENS) for number in range(CONVERSATIONS)]
     evicting = [text_generator.text(f"other {number}", TOKENS) for number in range(EVICTING_PROMPTS)]
@@ -89,7 +89,7 @@
 
 
 async def send_all(cluster: Cluster, texts: list[str], follow_up: bool = False) -> list[Outcome]:
-    """Send prompts one after the other, to both boxes in turn."""
+    """Send prompts one after the other, alternating between the boxes."""
     outcomes = []
     urls = [f"http://127.0.0.1:{ports.entry}" for ports in cluster.boxes.values()]
     for number, text in enumerate(texts):
@@ -105,7 +105,7 @@
 
 
 async def wait_for_exports(cluster: Cluster) -> None:
-    """Wait until the links have been still for a moment."""
+    """Wait until the links of the stores carry no more traffic."""
     moved = -1
     end = time.monotonic() + EXPORT_TIMEOUT_S
     while moved != link_bytes(cluster, HSITA) and time.monotonic() < end:
--- a/bench/deploy.py
+++ b/bench/deploy.py
@@ -1,4 +1,4 @@
-"""Starts a deployment's stand-ins and programs for a measurement."""
+"""Starts the stand-ins and programs of a deployment for a benchmark."""
 
 from dataclasses import asdict, dataclass, field
 from typing import Any
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """One way to run a deployment: settings that differ from the product's defaults, and faults.
+    """Settings that differ from the product's defaults, and injected faults.
 
-    rate: factor on the trace's rate; engine_speed: factor on the engines' prefill speed;
-    flood: factor on the trace's rate at which one large workspace sends besides; store_share: factor
-    on the store boxes' size.
+    Factors: rate on the trace's rate, engine_speed on the engines' prefill speed, link_speed on the
+    stores' links, lag_factor on the lags of events and load reports, store_share on the stores' size,
+    flood on the trace's rate for the additional requests of one large workspace.
     """
 
     name: str
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Replays a trace against a running system, open loop, and gathers what callers saw."""
+"""Open-loop load generator: replays a trace against a running system and records the responses."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 
 @dataclass
 class Tally:
-    """What one group of requests saw."""
+    """Latencies, token counts and refusals of one group of requests."""
 
     first_byte_us: HdrHistogram = field(default_factory=histogram)
     token_interval_us: HdrHistogram = field(default_factory=histogram)
@@ -34,7 +34,7 @@
     refused: Counter = field(default_factory=Counter)
 
     def summary(self) -> dict[str, Any]:
-        """Return the figures; times are milliseconds."""
+        """Return the summary; times are in milliseconds."""
         quantiles = {f"p{q}": self.first_byte_us.get_value_at_percentile(q) / 1000 for q in (50, 95, 99)}
         recomputed = 1 - self.cached_tokens / max(1, self.prompt_tokens)
         return {
@@ -48,7 +48,7 @@
 
 @dataclass
 class Reply:
-    """One answer; `first_at` is the monotonic time of its first byte."""
+    """One response; `first_byte_at` is the monotonic time of its first byte."""
 
     status: int = 0
     first_byte_at: float = 0.0
@@ -58,7 +58,7 @@
 
 @dataclass
 class Replay:
-    """Where prompts go, and what came of those that were due after `counted_from`."""
+    """Sends the turns of a trace and counts those that are due after `warmup_s`."""
 
     urls: list[str]
     service: str
@@ -72,7 +72,7 @@
     abandoned: set[int] = field(default_factory=set)
 
     async def run(self, turns: list[Turn]) -> None:
-        """Send every turn when it is due, whatever became of those before."""
+        """Send every turn when it is due, without waiting for earlier responses."""
         text_generator = TextGenerator()
         timeout = ClientTimeout(total=TIMEOUT_S)
         async with ClientSession(timeout=timeout, connector=TCPConnector(limit=0)) as session:
@@ -96,9 +96,9 @@
         return json.dumps(value).encode()
 
     async def send(self, session: ClientSession, url: str, turn: Turn, body: bytes) -> None:
-        """Send a turn as a caller's library would: come back when told, twice; then give up.
+        """Send a turn, with retries after refusals as in a client library.
 
-        A conversation that was given up has no later turns: its caller never got the answer.
+        The later turns of a conversation are not sent once one of its turns has failed.
         """
         if turn.conversation in self.abandoned:
             return
@@ -149,7 +149,7 @@
 
 
 def parse_usage(tail: bytes) -> dict | None:
-    """Return the usage figures at the end of a whole stream."""
+    """Return the usage object at the end of a complete stream, or None."""
     if not tail.endswith(b"data: [DONE]\n\n"):
         return None
     event = tail.split(b"\n\n")[-3]
--- a/bench/regress.py
+++ b/bench/regress.py
@@ -1,10 +1,9 @@
-"""Days of several deployments, played one after the other and compared with a committed table.
+"""Runs days of several deployments and compares their worth with a committed baseline.
 
     make regress FLEETBENCH=PATH SITES="SITE.toml ..." [DAYS=quiet-1,trouble-1] [SEEDS=11]
 
-Prints for each day worth, broken rules and the difference from the table; ends with 1 where a rule is
-broken, a day was not played to its end, or a day fell by more than `MOST_LOSS`. `--write` puts what was
-measured into the table.
+Prints the worth, broken rules and change of each day. The exit status is 1 if a rule is broken, a day
+does not run to its end, or its worth falls by more than `MAX_LOSS`. `--write` updates the baseline.
 """
 
 import argparse
@@ -18,7 +17,7 @@
 BASELINE_FILE = Path(__file__).parent / "results" / "regress.json"
 
 MAX_LOSS = 0.03
-"""Worth by which a day may fall: processor time is measured, and single days differ by as much."""
+"""Tolerated loss of worth; runs of a day vary with the measured processor time."""
 
 WORTH_LINE = re.compile(r"^worth (-?\d+\.\d+) = ", re.M)
 FAULT_LINE = re.compile(r"^.*(?:BROKEN|given up|fault).*$", re.M)
@@ -26,7 +25,7 @@
 
 @dataclass(frozen=True)
 class DayResult:
-    """One day as played. `faults`: lines that tell of broken rules, or why it did not reach its end."""
+    """Result of one day; `faults` are the lines on broken rules or on an incomplete run."""
 
     key: str
     worth: float | None
@@ -34,7 +33,7 @@
 
 
 def parse_report(key: str, text: str) -> DayResult:
-    """Return what the report of a day says."""
+    """Parse the report of a day."""
     worth = WORTH_LINE.search(text)
     head = text if worth is None else text[: worth.start()]
     faults = tuple(line.strip() for line in FAULT_LINE.findall(head))
@@ -42,9 +41,9 @@
 
 
 def compare(result: DayResult, baseline: dict[str, float]) -> tuple[str, bool]:
-    """Return a line on a day, and whether it holds."""
+    """Return a line that compares a day with the baseline, and whether the day passes."""
     if result.worth is None or result.faults:
-        reason = "; ".join(result.faults) or "not played"
+        reason = "; ".join(result.faults) or "not run"
         return f"{result.key:48} {_format_worth(result.worth)}  FAILED: {reason}", False
     before = baseline.get(result.key)
     if before is None:
@@ -59,14 +58,14 @@
 
 
 def run_day(bench: Path, site: Path, day: str, seed: int, why: str) -> DayResult:
-    """Play one day to its end."""
+    """Run one day to its end."""
     command = [str(bench), "run", str(site), day, "--seed", str(seed), "--jobs", "1", "--why", why]
     text = subprocess.run(command, capture_output=True, text=True).stdout
     return parse_report(f"{site.stem} {day} {seed}", text)
 
 
 def main() -> int:
-    """Play the days and print the comparison; return the exit status."""
+    """Run the days, print the comparison and return the exit status."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -75,7 +74,7 @@
     parser.add_argument("--days", default="quiet-1,trouble-1", help="days, separated by commas")
     parser.add_argument("--seeds", default="11", help="seeds, separated by commas")
     parser.add_argument("--why", default="regression run", help="a line for the journal")
-    parser.add_argument("--write", action="store_true", help="put what was measured into the table")
+    parser.add_argument("--write", action="store_true", help="write the results to the baseline")
     args = parser.parse_args()
     baseline: dict[str, float] = json.loads(BASELINE_FILE.read_text()) if BASELINE_FILE.exists() else {}
     all_hold = True
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,7 +1,6 @@
-"""Compares policies on one trace: `make bench BENCH="routing hsita"`.
+"""Compares variants of the system on seeded traces: `make bench BENCH="routing hsita"`.
 
-Each comparison runs its variants on the same seeded trace, two systems at a time, several times over.
-It prints a table of medians with their spread, and writes all figures and a plot to bench/results/.
+Prints medians with their spread over the seeds, and writes all figures and a plot to bench/results/.
 """
 
 import asyncio
@@ -23,7 +22,7 @@
 
 RESULTS = Path(__file__).resolve().parent / "results"
 WARMUP_SHARE = 0.45
-"""Share of the trace at its start that fills caches and is not counted."""
+"""Share of the trace at its start that fills the caches and is not counted."""
 
 FLAGS = flags.FLAGS
 flags.DEFINE_float("seconds", 40.0, "scaled seconds of one trace")
@@ -34,7 +33,7 @@
 
 
 def routing_baseline(name: str, **options: Any) -> Variant:
-    """Return a routing baseline; nothing is kept in store boxes, as nothing would be brought back."""
+    """Return a routing baseline; it saves nothing to store boxes, since it fetches nothing from them."""
     return Variant(name, {"router.policy": name, "router.keep.policy": "nothing"}, **options)
 
 
@@ -51,15 +50,15 @@
 
 
 SLOW_ENGINE_SPEED = 0.25
-"""Engines' speed in the overload comparisons, so that they, not this machine, are the limit."""
+"""Engine speed in the overload comparisons, where the engines must be the bottleneck."""
 
 CAPACITY_RATE = 0.75
-"""Factor on the trace's rate that slow engines can just carry; see docs/MEASUREMENTS.md."""
+"""Factor on the trace's rate that the slow engines can just sustain; see docs/MEASUREMENTS.md."""
 
 LOW_RATE = 0.35
 
 SMALL_STORES = Variant("", rate=1.7, store_share=0.4)
-"""Store boxes too small for all that is exported."""
+"""Variant whose store boxes are too small for all exports."""
 
 KEEP_ALL_LRU = {"router.keep.policy": "all", "router.keep.eviction": "least-recently-used"}
 
@@ -100,7 +99,7 @@
 
 
 def measure(deployment_name: str, variant: Variant, seed: int, seconds: float, rate: float) -> Run:
-    """Run one variant on one seed in a system of its own."""
+    """Run one variant on one seed in its own system."""
     base = DEPLOYMENTS[deployment_name]
     deployment = replace(base, prefill_tokens_s=base.prefill_tokens_s * variant.engine_speed)
     turns = generate(deployment, seed, seconds, rate * variant.rate)
--- a/bench/trace.py
+++ b/bench/trace.py
@@ -1,7 +1,6 @@
-"""Seeded traces of returning prompts for both deployments. Times are scaled by one factor.
+"""Generates seeded traces of conversations for the benchmark deployments.
 
-Gaps, the engines' speed, the links' speed and all lags shrink together by `SCALE`, so that an hour of
-the deployments takes minutes here. Sizes (tokens, bytes) are as they are.
+`SCALE` divides all times and multiplies the speeds of engines and links. Sizes are not scaled.
 """
 
 import math
@@ -14,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """One users' deployment, in unscaled seconds.
+    """Size and traffic of one deployment, in unscaled seconds.
 
     turn_rate: prompts a second; median_gap_s: between two turns of a conversation;
     first_tokens, turn_tokens, shared_tokens: medians of the first message, of what a turn adds, and
@@ -90,12 +89,15 @@
 """Share of the trace after which a flood begins."""
 
 WORKSPACE_SHARES = (0.25, 0.2, 0.2, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05)
-"""Ten workspaces, a few large."""
+"""Share of the traffic of each workspace."""
 
 
 @dataclass(frozen=True)
 class Turn:
-    """One prompt: due `at` scaled seconds from the start; the messages are made when it is sent."""
+    """One prompt, due `at` scaled seconds from the start.
+
+    `sizes` are the tokens of the user's messages so far, `shared` those of the system message.
+    """
 
     at: float
     workspace: str
@@ -107,7 +109,7 @@
 
 @dataclass
 class TextGenerator:
-    """Text of a given number of tokens, the same for the same seed."""
+    """Generates text of a given number of tokens, the same for the same seed."""
 
     rng: random.Random = field(default_factory=random.Random)
 
@@ -118,7 +120,7 @@
 
 
 def messages(turn: Turn, text_generator: TextGenerator) -> list[dict[str, str]]:
-    """Return a turn's messages: the shared part, then the conversation so far."""
+    """Return a turn's messages: the workspace's system message, then the conversation so far."""
     chat_messages = [
         {"role": "system", "content": text_generator.text(f"system {turn.workspace}", turn.shared)}
     ]
@@ -157,7 +159,7 @@
 
 
 def first_token_floor(turns: list[Turn], deployment: Deployment, warmup_s: float) -> list[float]:
-    """Return the scaled seconds that an idle engine needs for what each turn adds to those before it."""
+    """Return for each turn the scaled seconds that an idle engine needs for its new tokens."""
     seen: set[int] = set()
     floors = []
     for turn in turns:
@@ -190,10 +192,9 @@
 
 
 def optimal_recomputed_share(turns: list[Turn], warmup_s: float, block_tokens: int) -> float:
-    """Return the recomputed share of a router that knows all, with caches that hold all.
+    """Return the lowest possible recomputed share: perfect routing and unlimited caches.
 
-    What a conversation's prompt shares with what came before in it, or in its workspace, counts as
-    reused in whole blocks. No router on the same trace can do better.
+    A prompt reuses whole blocks of earlier prompts of its conversation or workspace.
     """
     seen: dict[int, int] = {}
     shared_seen: set[str] = set()
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Every scenario has processes of its own, which end with it."""
+"""Starts a cluster for each scenario and stops it afterwards."""
 
 from behave import register_type
 from parse import with_pattern
@@ -19,7 +19,7 @@
     context.loop = Loop()
     context.cluster = Cluster()
     if "callers" not in scenario.effective_tags:
-        # Refusals under load are the callers' feature's matter; elsewhere a busy machine may be slow.
+        # Only the callers feature tests refusals under load; elsewhere a busy machine may be slow.
         context.cluster.overrides["entry.max_queue_s"] = 8.0
     context.engines = []
     context.plain = []
--- a/features/steps/calls.py
+++ b/features/steps/calls.py
@@ -1,4 +1,4 @@
-"""Steps that send requests, and steps that judge what callers were told."""
+"""Steps that send requests and check their responses."""
 
 import json
 import random
@@ -222,7 +222,7 @@
 
 @step("mixed load runs for {seconds:g} s at {rate:d} requests a second")
 def _(context, seconds, rate):
-    """Start the load; it goes on while the following steps disturb the system."""
+    """Start the load, which continues during the following steps."""
     context.load = context.loop.start(mixed_load(context, seconds, rate))
 
 
--- a/features/steps/product.py
+++ b/features/steps/product.py
@@ -1,4 +1,4 @@
-"""Steps about the product's surface: the openai client, bad input, operators' commands, TLS."""
+"""Steps for the public interfaces: the OpenAI client, invalid input, operators' commands and TLS."""
 
 import asyncio
 import gzip
@@ -206,7 +206,7 @@
 @then("red's refusals say not run and when to come back")
 def _(context):
     refused = [item for item in context.red_outcomes if not item.answered]
-    assert refused, "the flood was no flood"
+    assert refused, "no request was refused"
     for item in refused:
         assert item.ran == "not run" and item.retry_after and item.code in ("overloaded", "rate_limited"), (
             item
@@ -383,7 +383,7 @@
         entry_url(context, "box-1"), "key-red", "POST", "/portal/packed", compressed, headers
     )
     seen = json.loads(context.loop.run(request).body)
-    # The stand-in's own server unpacks what it is sent, and refuses what is no gzip.
+    # The stand-in's server decompresses bodies and refuses invalid gzip data.
     assert seen["size"] == 9000 and seen["headers"]["Content-Encoding"] == "gzip", seen
 
 
--- a/features/steps/proofs.py
+++ b/features/steps/proofs.py
@@ -1,4 +1,4 @@
-"""Steps about kept blocks, plans, leases and boxes that are cut off."""
+"""Steps for stored blocks, plans, leases and network partitions."""
 
 from behave import given, then, when
 
@@ -182,7 +182,7 @@
 
 
 def set_partitioned(context, box, refuse):
-    """Close or open the proxies through which this box alone, and other boxes' owners, are reached."""
+    """Set whether the proxies before the platform and the other boxes' routers refuse connections."""
     for other in context.box_names:
         if other != box:
             context.cluster.proxy_fault(f"{other}-router", refuse=refuse)
--- a/features/steps/system.py
+++ b/features/steps/system.py
@@ -1,4 +1,4 @@
-"""Steps that build a system and change it."""
+"""Steps that start a system, change it and inject faults."""
 
 import time
 
